--- a/src/node/admin_server.cpp
+++ b/src/node/admin_server.cpp
@@ -8,7 +8,7 @@
 #include <boost/beast/http/write.hpp>
 #include <charconv>
 
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 
@@ -121,9 +121,9 @@
 
   void start() {
     set_no_delay(socket_);
-    parser_.header_limit(facts::kMaxHeader);
-    parser_.body_limit(facts::kMaxBody);
-    limit_ = timers_.after(facts::kControlCall, [self = shared_from_this()] {
+    parser_.header_limit(limits::kMaxHeaderBytes);
+    parser_.body_limit(limits::kMaxBodyBytes);
+    limit_ = timers_.after(limits::kAdminIoTimeout, [self = shared_from_this()] {
       self->limit_.reset();
       if (self->answered_) return self->end();
       self->answer(plain(http::status::request_timeout, "no whole call came\n"));
@@ -156,7 +156,7 @@
   void ask() {
     whole_ = true;
     timers_.cancel(limit_);
-    limit_ = timers_.after(facts::kControlWait, [self = shared_from_this()] {
+    limit_ = timers_.after(limits::kAdminResponseTimeout, [self = shared_from_this()] {
       self->limit_.reset();
       if (!self->answered_)
         self->answer(plain(http::status::gateway_timeout, "no answer came in time\n"));
@@ -177,7 +177,7 @@
     response_.keep_alive(false);
     response_.prepare_payload();
     timers_.cancel(limit_);
-    limit_ = timers_.after(facts::kControlCall, [self = shared_from_this()] {
+    limit_ = timers_.after(limits::kAdminIoTimeout, [self = shared_from_this()] {
       self->limit_.reset();
       self->end();
     });
@@ -194,7 +194,7 @@
                       });
   }
   void drain() {
-    socket_.async_read_some(buffer_.prepare(facts::kReadSize),
+    socket_.async_read_some(buffer_.prepare(limits::kReadBufferBytes),
                             [self = shared_from_this()](const error_code& failed, std::size_t) {
                               if (!self->control_) return;
                               if (failed) return self->end();
@@ -240,13 +240,13 @@
     if (is_transient_accept_failure(failed)) return accept();
     if (failed) {
       if (!is_system_shortage(failed)) evict_oldest();
-      accept_timer_ = timers_.after(facts::kAcceptPause, [this] {
+      accept_timer_ = timers_.after(limits::kAcceptRetryDelay, [this] {
         accept_timer_.reset();
         accept();
       });
       return;
     }
-    if (calls_.size() >= facts::kControlCallers) evict_oldest();
+    if (calls_.size() >= limits::kMaxAdminConnections) evict_oldest();
     calls_.push_back(std::make_shared<Call>(*this, std::move(socket)));
     calls_.back()->start();
     accept();
--- a/src/node/admin_server.hpp
+++ b/src/node/admin_server.hpp
@@ -40,7 +40,7 @@
     // Leaves a price server out, or lets it serve again; false: no list has ever named it.
     virtual bool set_operator_ejection(const std::string& server, bool out) = 0;
     // Other paths; false: there is no such path. Answered once, at once or within
-    // facts::kControlWait.
+    // limits::kAdminResponseTimeout.
     virtual bool on_admin_request(const AdminRequest& request, AdminCallback callback) = 0;
 
    protected:
--- a/src/node/cluster_state.cpp
+++ b/src/node/cluster_state.cpp
@@ -5,7 +5,7 @@
 
 #include "common/hash.hpp"
 #include "common/lookup.hpp"
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 namespace {
--- a/src/node/connection_pool.cpp
+++ b/src/node/connection_pool.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "facts.hpp"
+#include "limits.hpp"
 #include "upstream_connection.hpp"
 
 namespace petrelrail {
@@ -30,7 +30,7 @@
 ConnectionPool::Connection ConnectionPool::acquire(Time now, Duration limit) {
   while (!idle_.empty()) {
     const bool must_rest = now < min_idle_time_until_;
-    const Time before = now - (must_rest ? min_idle_time_ : facts::kRest);
+    const Time before = now - (must_rest ? min_idle_time_ : limits::kPreferredIdleTime);
     const auto end = std::ranges::upper_bound(idle_, before, {}, &UpstreamConnection::idle_since);
     const auto rested = static_cast<std::size_t>(end - idle_.begin());
     if (must_rest && rested == 0) break;
@@ -83,9 +83,10 @@
 }
 
 void ConnectionPool::on_unsolicited_data(Time now, Time since) {
-  if (now >= min_idle_time_until_) min_idle_time_ = facts::kRestOutOfTurn;
-  min_idle_time_ = std::min(std::max(min_idle_time_, 2 * (now - since)), facts::kLongestRest);
-  min_idle_time_until_ = now + facts::kOutOfTurnKept;
+  if (now >= min_idle_time_until_) min_idle_time_ = limits::kMinIdleAfterUnsolicitedData;
+  min_idle_time_ = std::min(std::max(min_idle_time_, 2 * (now - since)),
+                            limits::kMaxIdleAfterUnsolicitedData);
+  min_idle_time_until_ = now + limits::kUnsolicitedDataRetention;
 }
 
 void ConnectionPool::close_all_idle() {
--- a/src/node/coordination.cpp
+++ b/src/node/coordination.cpp
@@ -1,6 +1,6 @@
 #include "coordination.hpp"
 
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 namespace {
@@ -47,12 +47,12 @@
   if (config_.control.empty() || !cluster_state_.started()) return;
   const Time now = timers_.now();
   const auto ends = std::chrono::ceil<std::chrono::seconds>(
-      (now + 2 * facts::kAddressInterval).time_since_epoch());
+      (now + 2 * limits::kAddressPublishInterval).time_since_epoch());
   cluster_state_.records().put(now, {kAddresses, fleet::index_of(config_.shared.self)},
                                config_.shared.duties.term_at(now) * fleet::kGifts,
                                static_cast<std::uint32_t>(ends.count()), config_.control);
   cluster_state_.on_records_written();
-  address_timer_ = timers_.after(facts::kAddressInterval, [this] {
+  address_timer_ = timers_.after(limits::kAddressPublishInterval, [this] {
     address_timer_.reset();
     publish_address();
   });
--- a/src/node/counter_client.cpp
+++ b/src/node/counter_client.cpp
@@ -8,7 +8,7 @@
 #include <cstdio>
 #include <random>
 
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 
@@ -30,7 +30,7 @@
     stage_ = Stage::connecting;
     const auto number = ++life_;
     // Soon: one that was lost with its machine says nothing, and a connection never comes up.
-    guard_ = timers_.after(facts::kCounterConnect * timeout_, [self = shared_from_this()] {
+    guard_ = timers_.after(limits::kCounterConnectTimeouts * timeout_, [self = shared_from_this()] {
       self->guard_.reset();
       self->lose();
     });
@@ -109,11 +109,12 @@
   // quickest of late takes longer than the settings' time, it is slow by nature: calls are given up
   // after half as long again.
   Duration patience() const {
-    return std::clamp(usual_ + usual_ / 2, timeout_, facts::kCounterConnect * timeout_);
+    return std::clamp(usual_ + usual_ / 2, timeout_, limits::kCounterConnectTimeouts * timeout_);
   }
   void learn(Duration took) {
-    usual_ = usual_ == Duration{} || took < usual_ ? took
-                                                   : usual_ + (took - usual_) / facts::kUsualRise;
+    usual_ = usual_ == Duration{} || took < usual_
+                 ? took
+                 : usual_ + (took - usual_) / limits::kRoundTripRiseDivisor;
   }
 
   void tell(Call& c, CounterOutcome outcome, double total = 0) {
@@ -204,7 +205,7 @@
       }
     }
     text_.erase(0, begin);
-    return text_.size() <= facts::kMaxLine;
+    return text_.size() <= limits::kMaxCounterLineBytes;
   }
 
   static bool number(std::string_view text, double& value) {
@@ -226,7 +227,7 @@
     for (auto& c : sent)
       tell(c, write_ended && c.end > 0 ? CounterOutcome::refused : CounterOutcome::timeout);
     for (auto& c : waiting) tell(c, CounterOutcome::refused);
-    backoff_ = std::clamp(2 * backoff_, facts::kFirstBackoff, facts::kLongestCounterBackoff);
+    backoff_ = std::clamp(2 * backoff_, limits::kMinBackoff, limits::kMaxCounterBackoff);
     const auto wait = std::uniform_int_distribution(backoff_.count() / 2,
                                                     backoff_.count())(random_);
     guard_ = timers_.after(Duration(wait), [self = shared_from_this()] {
@@ -239,13 +240,14 @@
   void watch() {
     const Time now = timers_.now();
     if (!sent_.empty() &&
-        now - std::max(heard_, sent_.front().began) > facts::kCounterSilent * timeout_)
+        now - std::max(heard_, sent_.front().began) > limits::kCounterSilenceTimeouts * timeout_)
       return lose();
-    if (sent_.empty() && (silent_ || now - heard_ > facts::kCounterIdle / 4)) ping();
-    guard_ = timers_.after(facts::kCounterSilent * timeout_ / 4, [self = shared_from_this()] {
-      self->guard_.reset();
-      self->watch();
-    });
+    if (sent_.empty() && (silent_ || now - heard_ > limits::kCounterIdleTimeout / 4)) ping();
+    guard_ = timers_.after(limits::kCounterSilenceTimeouts * timeout_ / 4,
+                           [self = shared_from_this()] {
+                             self->guard_.reset();
+                             self->watch();
+                           });
   }
 
   Timers& timers_;
@@ -259,7 +261,7 @@
   std::uint64_t life_ = 0, calls_ = 0;  // numbers of connections and of calls
   std::deque<Call> waiting_, sent_;     // not yet written; written or being written
   std::string writing_, text_;
-  std::array<char, facts::kReadSize> space_{};
+  std::array<char, limits::kReadBufferBytes> space_{};
   Timers::Handle guard_;
   Duration backoff_{};
   std::mt19937_64 random_;  // so that a fleet's nodes do not come back in step
@@ -272,7 +274,7 @@
 CounterClient::CounterClient(asio::io_context& io, Timers& timers, const Tcp::endpoint& at,
                              Duration timeout, const ResponseCallback& told,
                              const RecoveredCallback& heard, std::uint64_t seed) {
-  for (std::size_t i = 0; i < facts::kCounterLinks; ++i) {
+  for (std::size_t i = 0; i < limits::kCounterConnections; ++i) {
     connections_.push_back(
         std::make_shared<Connection>(io, timers, at, timeout, told, heard, seed + i));
     connections_.back()->connect();
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -63,7 +63,7 @@
       host_(std::move(host)),
       zones_(std::move(zones)),
       on_list_(std::move(told)),
-      limits_(facts::agent_limits(drain_grace)) {}
+      limits_(limits::agent_limits(drain_grace)) {}
 
 Discovery::~Discovery() {
   timers_.cancel(reconnect_timer_);
@@ -90,9 +90,11 @@
 }
 
 void Discovery::set_drain_grace(Duration drain_grace) {
-  limits_ = facts::agent_limits(drain_grace);
-  if (poll_timer_ && (*poll_timer_)->first > timers_.now() + limits_.answer) schedule_poll();
-  if (!reconnect_timer_ || (*reconnect_timer_)->first <= timers_.now() + limits_.pause) return;
+  limits_ = limits::agent_limits(drain_grace);
+  if (poll_timer_ && (*poll_timer_)->first > timers_.now() + limits_.poll_interval) schedule_poll();
+  if (!reconnect_timer_ ||
+      (*reconnect_timer_)->first <= timers_.now() + limits_.max_reconnect_delay)
+    return;
   timers_.cancel(reconnect_timer_);
   open_watch();
 }
@@ -201,7 +203,7 @@
 // The oldest question has its whole time; of the others the first gives way where there are too
 // many.
 void Discovery::poll() {
-  if (polls_.size() + 1 >= facts::kAgentQuestions) {
+  if (polls_.size() + 1 >= limits::kMaxAgentConnections) {
     const auto it = polls_.begin() + (polls_.size() > 1 ? 1 : 0);
     const ExchangeHandle late = *it;
     polls_.erase(it);
@@ -212,7 +214,7 @@
 
 void Discovery::schedule_poll() {
   timers_.cancel(poll_timer_);
-  poll_timer_ = timers_.after(limits_.answer, [this] {
+  poll_timer_ = timers_.after(limits_.poll_interval, [this] {
     poll_timer_.reset();
     schedule_poll();
     poll();
@@ -223,7 +225,7 @@
   ++(watch ? stats_.watches : stats_.polls);
   auto q = std::make_shared<Exchange>(*this, watch);
   q->opened = timers_.now();
-  give_up_after(q, q->opened + facts::kAgentAnswer);
+  give_up_after(q, q->opened + limits::kAgentTimeout);
   q->socket.async_connect(agent_, [q](const error_code& wrong) {
     if (q->owner == nullptr) return;
     auto& self = *q->owner;
@@ -242,7 +244,7 @@
 }
 
 void Discovery::read(const ExchangeHandle& q) {
-  q->socket.async_read_some(q->buffer.prepare(facts::kReadSize),
+  q->socket.async_read_some(q->buffer.prepare(limits::kReadBufferBytes),
                             [q](const error_code& failed, std::size_t bytes) {
                               if (q->owner != nullptr) q->owner->on_read(q, failed, bytes);
                             });
@@ -258,7 +260,7 @@
   if (q->owner == nullptr) return;
   if (q->parser.is_done()) return failed(q, stats_.lost);
   if (q->watch && !q->has_line && q->parser.is_header_done() && !std::exchange(q->has_head, true))
-    give_up_after(q, q->opened + facts::kWatchSilent);
+    give_up_after(q, q->opened + limits::kWatchSilenceTimeout);
   read(q);
 }
 
@@ -311,7 +313,7 @@
     came = ReadResult::line;
     if (!q.watch || q.owner == nullptr) return came;
   }
-  return q.list.size() <= facts::kMaxList ? came : no_list("it is too long");
+  return q.list.size() <= limits::kMaxJsonLineBytes ? came : no_list("it is too long");
 }
 
 // What a watch says of a time before the whole list that was taken beside it is known already, and
@@ -342,7 +344,7 @@
   if (q->watch) {
     q->has_line = true;
     backoff_ = {};
-    give_up_after(q, timers_.now() + facts::kWatchSilent);
+    give_up_after(q, timers_.now() + limits::kWatchSilenceTimeout);
   }
   if (in_sync_) {
     end_polls();
@@ -371,7 +373,7 @@
   if (backoff_ == Duration{} && &reason == &stats_.silent) log::warning("discovery", "silent");
   watch_.reset();
   if (!poll_timer_) schedule_poll();
-  backoff_ = std::min(std::max(2 * backoff_, facts::kFirstBackoff), limits_.pause);
+  backoff_ = std::min(std::max(2 * backoff_, limits::kMinBackoff), limits_.max_reconnect_delay);
   reconnect_timer_ = timers_.after(backoff_, [this] {
     reconnect_timer_.reset();
     open_watch();
--- a/src/node/discovery.hpp
+++ b/src/node/discovery.hpp
@@ -3,7 +3,7 @@
 // What the agent holds counts as told whether or not a watch is open. So until the watch has given
 // a whole line (an empty one, or a list's end), a question for the whole list goes out beside it
 // every `answer`: settings' `drain_grace` bounds the time between two of them
-// (facts::agent_limits), and an agent that is slower is still heard, since the oldest question
+// (limits::agent_limits), and an agent that is slower is still heard, since the oldest question
 // stays open for kAgentAnswer (500 ms) and only the one after it gives way to the next.
 //
 // clang-format off
@@ -38,7 +38,7 @@
 #include <string_view>
 #include <vector>
 
-#include "facts.hpp"
+#include "limits.hpp"
 #include "net.hpp"
 #include "petrelrail/gateway.hpp"
 
@@ -66,7 +66,7 @@
     std::uint64_t bad_heads = 0, bad_documents = 0, bad_lists = 0, bad_members = 0;
   };
 
-  // `drain_grace`: of the settings, see facts::agent_limits; where it is not given the limits are
+  // `drain_grace`: of the settings, see limits::agent_limits; where it is not given the limits are
   // the longest.
   Discovery(asio::io_context& io, Timers& timers, const Tcp::endpoint& at, std::string host,
             std::map<std::string, std::uint32_t> zones, ListCallback told,
@@ -84,7 +84,7 @@
   // by the new ones.
   void set_drain_grace(Duration drain_grace);
   std::uint64_t revision() const { return revision_; }
-  const facts::AgentLimits& limits() const { return limits_; }
+  const limits::AgentLimits& limits() const { return limits_; }
   const Stats& stats() const { return stats_; }
   // The server that some list has named so.
   std::optional<EndpointId> find_id(const std::string& id) const;
@@ -131,7 +131,7 @@
   std::map<EndpointId, std::string> names_by_id_;
   std::uint64_t revision_ = 0;
 
-  facts::AgentLimits limits_;
+  limits::AgentLimits limits_;
   ExchangeHandle watch_;               // none: paused
   std::vector<ExchangeHandle> polls_;  // beside it, the oldest first
   std::optional<std::uint64_t>
--- a/src/node/gossip_transport.cpp
+++ b/src/node/gossip_transport.cpp
@@ -4,7 +4,7 @@
 
 #include "common/hash.hpp"
 #include "common/time_math.hpp"
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 namespace {
@@ -94,7 +94,7 @@
 // What waits in the socket comes before anybody is judged for not having answered. Bounded, as
 // others may send for ever.
 void GossipTransport::drain() {
-  for (std::size_t i = 0; i < facts::kDatagramsAtOnce; ++i) {
+  for (std::size_t i = 0; i < limits::kMaxDatagramsPerRead; ++i) {
     error_code none;
     const auto bytes = socket_.receive_from(asio::buffer(space_), sender_, 0, none);
     if (none) return;
--- a/src/node/hot_restart.cpp
+++ b/src/node/hot_restart.cpp
@@ -9,7 +9,7 @@
 #include <boost/asio/write.hpp>
 #include <cstring>
 
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 
@@ -185,7 +185,7 @@
 
   // False if the link is of no more use.
   bool take() {
-    std::array<char, facts::kReadSize> bytes{};
+    std::array<char, limits::kReadBufferBytes> bytes{};
     iovec part{bytes.data(), bytes.size()};
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> space{};
     msghdr m{};
@@ -208,7 +208,7 @@
       handover_->on_message(message, std::move(passed_));
       if (!handover_) return true;
     }
-    return in_.size() <= facts::kMaxList;
+    return in_.size() <= limits::kMaxJsonLineBytes;
   }
 
   HotRestart* handover_;  // none: it has ended
@@ -250,9 +250,9 @@
   if (!failed) socket.connect(Local::endpoint(path_), failed);
   if (failed) return false;
   connection_ = std::make_shared<Connection>(*this, std::move(socket));
-  connection_->send({{"hello", facts::kHandoverForm}});
+  connection_->send({{"hello", limits::kHandoverVersion}});
   connection_->read();
-  timeout_ = timers_.after(facts::kHandoverLimit, [this] {
+  timeout_ = timers_.after(limits::kHandoverTimeout, [this] {
     timeout_.reset();
     if (connection_) connection_->end();
   });
@@ -262,7 +262,7 @@
 void HotRestart::request_state() {
   if (connection_) connection_->send({{"take", true}});
   timers_.cancel(timeout_);
-  timeout_ = timers_.after(facts::kHandoverLimit, [this] {
+  timeout_ = timers_.after(limits::kHandoverTimeout, [this] {
     timeout_.reset();
     if (connection_) connection_->end();
   });
@@ -297,7 +297,7 @@
   acceptor_.async_accept([this](const error_code& failed, LocalSocket socket) {
     if (failed == asio::error::operation_aborted) return;
     if (failed) {  // no descriptor, say: whoever waits is still there after a moment
-      accept_timer_ = timers_.after(facts::kAcceptPause, [this] {
+      accept_timer_ = timers_.after(limits::kAcceptRetryDelay, [this] {
         accept_timer_.reset();
         accept();
       });
@@ -325,7 +325,7 @@
   const auto link = connection_;
   try {
     if (message.contains("hello") && acceptor_.is_open()) {
-      if (message.at("hello") != facts::kHandoverForm ||
+      if (message.at("hello") != limits::kHandoverVersion ||
           !link->send_with({{"listener", true}}, callbacks_.listener()))
         link->end();
     } else if (message.contains("take") && acceptor_.is_open()) {
--- a/src/node/http_server.cpp
+++ b/src/node/http_server.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "facts.hpp"
+#include "limits.hpp"
 #include "request_reader.hpp"
 
 namespace petrelrail {
@@ -42,7 +42,7 @@
   // one to come, though others may stand in the queue already.
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
   accept();
-  timers_.after(facts::kSweepClients, [this] { sweep(); });
+  timers_.after(limits::kSessionSweepInterval, [this] { sweep(); });
 }
 
 void HttpServer::stop_accepting() {
@@ -89,7 +89,7 @@
     // For want of a descriptor, most likely, one that idles is given up; the next try comes after a
     // moment.
     if (!is_system_shortage(failed)) evict_idle();
-    timers_.after(facts::kAcceptPause, [this] { accept(); });
+    timers_.after(limits::kAcceptRetryDelay, [this] { accept(); });
     return;
   }
   last_accept_time_ = timers_.now();
@@ -133,19 +133,20 @@
   const std::vector<std::shared_ptr<HttpSession>> all(sessions_.begin(), sessions_.end());
   for (const auto& s : all) {
     s->sweep(now);
-    const auto idle = accepting_stopped_ ? facts::kHandedOverIdle : facts::kNewAfterTerm;
+    const auto idle = accepting_stopped_ ? limits::kHandedOverIdleTimeout
+                                         : limits::kNewConnectionsAfterTerm;
     if ((draining_ || accepting_stopped_) && s->has_no_unread_input() &&
         now - s->state_since() > idle)
       s->close_lingering(SessionEndReason::process_ends);
   }
-  timers_.after(facts::kSweepClients, [this] { sweep(); });
+  timers_.after(limits::kSessionSweepInterval, [this] { sweep(); });
 }
 
 void HttpServer::drain(Duration longest_deadline) {
   draining_ = true;
   last_accept_time_ = drain_started_ = timers_.now();
-  drain_deadline_ = drain_started_ + std::min(longest_deadline, facts::kDeadlineAtTerm) +
-                    facts::kKillAfterTerm - facts::kLastWord;
+  drain_deadline_ = drain_started_ + std::min(longest_deadline, limits::kMaxDeadlineAtTerm) +
+                    limits::kKillDelayAfterTerm - limits::kFinalResponseMargin;
   if (accepting_stopped_) return;  // they are told with their next answers
   const std::vector<std::shared_ptr<HttpSession>> all(sessions_.begin(), sessions_.end());
   for (const auto& s : all)
@@ -158,7 +159,7 @@
 // lost: a request that comes late has no more time than this process.
 void HttpServer::shorten_deadline(ClientRequest& request) const {
   const Time now = timers_.now();
-  if (!draining_ || now - drain_started_ <= facts::kNewAfterTerm) return;
+  if (!draining_ || now - drain_started_ <= limits::kNewConnectionsAfterTerm) return;
   if (request.deadline <= drain_deadline_) return;
   if (drain_deadline_ <= now)
     throw RequestError(http::status::service_unavailable, "this process ends");
@@ -169,7 +170,7 @@
 // Clients that have their answers and do not close don't hold the process up to SIGKILL.
 bool HttpServer::drained() const {
   const Time now = timers_.now();
-  if (!draining_ || now - last_accept_time_ <= facts::kNewAfterTerm) return false;
+  if (!draining_ || now - last_accept_time_ <= limits::kNewConnectionsAfterTerm) return false;
   return sessions_.empty() ||
          (now >= drain_deadline_ &&
           std::ranges::all_of(sessions_, [](const auto& s) { return s->is_lingering(); }));
--- a/src/node/http_session.cpp
+++ b/src/node/http_session.cpp
@@ -6,8 +6,8 @@
 #include <algorithm>
 #include <array>
 
-#include "facts.hpp"
 #include "http_server.hpp"
+#include "limits.hpp"
 #include "policy/request_state.hpp"
 #include "request_reader.hpp"
 #include "response_writer.hpp"
@@ -43,10 +43,11 @@
   if (const auto paused = std::exchange(reading_paused_time_, {}); paused != Time{})
     request_started_time_ += server_.timers_.now() - paused;
   read_pending_ = true;
-  socket_.async_read_some(buffer_.prepare(body_stream_ ? facts::kPiece : facts::kReadSize),
-                          [self = shared_from_this()](const error_code& failed, std::size_t bytes) {
-                            self->on_read(failed, bytes);
-                          });
+  socket_.async_read_some(
+      buffer_.prepare(body_stream_ ? limits::kStreamChunkBytes : limits::kReadBufferBytes),
+      [self = shared_from_this()](const error_code& failed, std::size_t bytes) {
+        self->on_read(failed, bytes);
+      });
 }
 
 void HttpSession::on_read(const error_code& failed, std::size_t bytes) {
@@ -62,11 +63,12 @@
   // nothing is kept and the session ends with the answer, but it is read on: else a close behind it
   // would not be seen.
   if (state_ != State::reading && !body_stream_ &&
-      buffer_.size() > facts::kMaxHeader + facts::kMaxBody)
+      buffer_.size() > limits::kMaxHeaderBytes + limits::kMaxBodyBytes)
     keep_alive_ = false;
   if (state_ == State::lingering || (state_ != State::reading && !body_stream_ && !keep_alive_)) {
     buffer_.clear();
-    if (request_bytes_ > facts::kMaxStreamedBody) return close(SessionEndReason::request_too_long);
+    if (request_bytes_ > limits::kMaxStreamedBodyBytes)
+      return close(SessionEndReason::request_too_long);
   }
   if (state_ == State::reading) {
     parse();
@@ -82,15 +84,15 @@
     request_started_time_ = state_since_ = server_.timers_.now();
     request_bytes_ = buffer_.size();
     parser_.emplace();
-    parser_->header_limit(facts::kMaxHeader);
-    parser_->body_limit(facts::kMaxStreamedBody);
+    parser_->header_limit(limits::kMaxHeaderBytes);
+    parser_->body_limit(limits::kMaxStreamedBodyBytes);
     parser_->eager(true);
   }
   if (!feed_parser()) return;
   const auto length = parser_->content_length();
   const bool is_long = parser_->is_header_done() &&
-                       ((length && *length > facts::kMaxBody) ||
-                        parser_->get().body().size() > facts::kMaxBody);
+                       ((length && *length > limits::kMaxBodyBytes) ||
+                        parser_->get().body().size() > limits::kMaxBodyBytes);
   if (parser_->is_done() || is_long) on_request_parsed();
 }
 
@@ -323,8 +325,8 @@
   error_code failed;
   if (state_ == State::reading && !has_no_unread_input()) reject_immediately();
   socket_.shutdown(Socket::shutdown_send, failed);
-  std::array<char, facts::kReadSize> unread{};
-  for (auto n = facts::kMaxBody / unread.size(); n > 0; --n) {
+  std::array<char, limits::kReadBufferBytes> unread{};
+  for (auto n = limits::kMaxBodyBytes / unread.size(); n > 0; --n) {
     const auto read = [&] {
       return ::recv(socket_.native_handle(), unread.data(), unread.size(), MSG_DONTWAIT);
     };
@@ -385,15 +387,15 @@
   if (state_ == State::waiting && body_stream_ && read_pending_ &&
       now - request_started_time_ >= request_limit())
     return close(SessionEndReason::request_too_slow);
-  if (state_ == State::lingering && now - state_since_ < facts::kLongestLinger &&
-      now - last_received_time_ < facts::kLinger)
+  if (state_ == State::lingering && now - state_since_ < limits::kMaxLingerTime &&
+      now - last_received_time_ < limits::kLingerTimeout)
     return;
   const bool writes = state_ == State::writing || state_ == State::streaming;
-  const auto limit = writes                       ? facts::kSlowReader
-                     : state_ == State::lingering ? facts::kLinger
+  const auto limit = writes                       ? limits::kWriteTimeout
+                     : state_ == State::lingering ? limits::kLingerTimeout
                      : request_started_           ? request_limit()
-                     : awaits_first_request_      ? facts::kSlowHead
-                                                  : facts::kIdleClient;
+                     : awaits_first_request_      ? limits::kHeaderTimeout
+                                                  : limits::kClientIdleTimeout;
   // Whoever connects has so long for its first request, with whatever pauses.
   const Time from = state_ == State::reading && awaits_first_request_ ? opened_time_ : state_since_;
   if (state_ == State::waiting || now - from < limit) return;
@@ -409,9 +411,10 @@
 
 // A head has its time, and a body as much more as what has come takes a slow client.
 Duration HttpSession::request_limit() const {
-  if (!parser_ || !parser_->is_header_done()) return facts::kSlowHead;
-  const std::chrono::duration<double> more(static_cast<double>(request_bytes_) / facts::kSlowBody);
-  return facts::kSlowHead + std::chrono::duration_cast<Duration>(more);
+  if (!parser_ || !parser_->is_header_done()) return limits::kHeaderTimeout;
+  const std::chrono::duration<double> more(static_cast<double>(request_bytes_) /
+                                           limits::kMinBodyBytesPerSecond);
+  return limits::kHeaderTimeout + std::chrono::duration_cast<Duration>(more);
 }
 
 }  // namespace petrelrail
--- a/src/node/job_service.cpp
+++ b/src/node/job_service.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <cstdio>
 
-#include "facts.hpp"
+#include "limits.hpp"
 #include "settings_reader.hpp"
 
 namespace petrelrail {
@@ -40,7 +40,7 @@
   return t.data();
 }
 std::string request_text(std::uint64_t id) {
-  std::array<char, facts::kCustomerDigits + 1> t{};
+  std::array<char, limits::kCustomerIdHexDigits + 1> t{};
   std::snprintf(t.data(), t.size(), "%016llx", static_cast<unsigned long long>(id));
   return t.data();
 }
@@ -59,7 +59,7 @@
 // What a call waits for a shard to be held is what its caller may wait.
 fleet::JobTerms terms() {
   fleet::JobTerms t;
-  t.waits = facts::kControlWait - facts::kControlCall;
+  t.waits = limits::kAdminResponseTimeout - limits::kAdminIoTimeout;
   return t;
 }
 
@@ -75,7 +75,7 @@
     if (std::ranges::find(known, key) == known.end())
       throw FieldError("field '" + key + "' is not known");
   fleet::JobSpec s;
-  s.customer = digits(j, "customer", facts::kCustomerDigits, "16 hex digits");
+  s.customer = digits(j, "customer", limits::kCustomerIdHexDigits, "16 hex digits");
   s.prefix = digits(j, "prefix", kPrefixDigits, "12 hex digits");
   s.plan = text(j, "plan"), s.request_class = text(j, "class"), s.path = text(j, "path");
   if (const auto* units = optional_field(j, "units")) {
@@ -115,7 +115,7 @@
   }
   void begin_stream(const ResponseHead&) override {}
   void write_chunk(std::string_view piece, std::function<void()> taken) override {
-    too_long_ = too_long_ || body_.size() + piece.size() > facts::kMaxBody;
+    too_long_ = too_long_ || body_.size() + piece.size() > limits::kMaxBodyBytes;
     if (!too_long_) body_ += piece;
     taken();
   }
@@ -416,7 +416,7 @@
   }
   for (unsigned s = 0; s < fleet::kShards; ++s) {
     const bool wanted = jobs_.wants(ShardId(static_cast<std::uint8_t>(s)));
-    if (wanted) wanted_until_[s] = now + facts::kShardKept;
+    if (wanted) wanted_until_[s] = now + limits::kShardIdleTimeout;
     shared_.want(first_duty_ + s, wanted || now < wanted_until_[s]);
   }
   running_ = false;
@@ -430,7 +430,7 @@
   const bool busy = std::ranges::any_of(wanted_until_,
                                         [now = timers_.now()](Time t) { return now < t; });
   if (!busy) return;
-  due_ = timers_.after(facts::kJobsLook, [this] {
+  due_ = timers_.after(limits::kJobCheckInterval, [this] {
     due_.reset();
     run();
   });
--- a/src/node/log.cpp
+++ b/src/node/log.cpp
@@ -10,7 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail::log {
 namespace {
@@ -22,7 +22,7 @@
   Form form = Form::text;
   std::string node;
   std::shared_ptr<spdlog::logger> out;
-  RateLimiter bound{facts::kLogBurst, facts::kLogRate};
+  RateLimiter bound{limits::kLogBurstLines, limits::kLogLinesPerSecond};
   bool requests = false;  // whether events of single requests are written
   Stats figures;
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -9,7 +9,7 @@
 #include <iostream>
 #include <sstream>
 
-#include "facts.hpp"
+#include "limits.hpp"
 #include "node.hpp"
 
 namespace {
@@ -48,11 +48,11 @@
   t.shared.duties.clocks = t.shared.duties.counter_timeout = s.counter_timeout;
   t.shared.records.clocks = s.counter_timeout;
   t.shared.records.term = t.shared.duties.term();
-  t.shared.records.spaces = facts::kRecordSpaces;
+  t.shared.records.spaces = limits::kRecordSpaces;
   t.shared.records.sealed = peers.terms.key.has_value();
-  const double others = peers.terms.in_per_s * facts::kOthersShare;
-  t.shared.records.news_per_s = others * facts::kNewsShare;
-  t.shared.records.pull_per_s = std::max(others * facts::kPullShare, 1.0);
+  const double others = peers.terms.in_per_s * limits::kCoordinationIntakeShare;
+  t.shared.records.news_per_s = others * limits::kUpdateIntakeShare;
+  t.shared.records.pull_per_s = std::max(others * limits::kPullIntakeShare, 1.0);
   try {
     fleet::validate(t.shared.duties);
     fleet::validate(t.shared.records);
@@ -298,7 +298,7 @@
     return EXIT_SUCCESS;
   } catch (const std::exception& x) {
     std::cerr << "petrelrail: " << x.what() << '\n';
-    return facts::kBadInput;
+    return limits::kBadInputExitStatus;
   }
 }
 
@@ -355,7 +355,7 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? EXIT_SUCCESS : facts::kBadInput;
+    return app.exit(e) == 0 ? EXIT_SUCCESS : limits::kBadInputExitStatus;
   }
   log::log_requests(log_requests);
   if (only_check) return check(source);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 namespace {
@@ -10,14 +10,15 @@
 // What is kept for the node's own is the most it can need, and is kept whole while a part of the
 // limit is left beside it: of a smaller limit the node does with less, as it seldom needs that.
 std::size_t for_peers(const NodeConfig& c) {
-  const auto own = facts::kOwnDescriptors + facts::kCounterLinks + (c.gossip ? 1 : 0);
+  const auto own = limits::kReservedDescriptors + limits::kCounterConnections + (c.gossip ? 1 : 0);
   const auto least = std::max<std::size_t>(
-      1, static_cast<std::size_t>(facts::kMinPeersShare * static_cast<double>(c.descriptors)));
+      1, static_cast<std::size_t>(limits::kMinPeerDescriptorShare *
+                                  static_cast<double>(c.descriptors)));
   return std::max(c.descriptors - std::min(own, c.descriptors), least);
 }
 std::size_t for_clients(const NodeConfig& c) {
-  return std::max<std::size_t>(
-      1, static_cast<std::size_t>(facts::kClientShare * static_cast<double>(for_peers(c))));
+  return std::max<std::size_t>(1, static_cast<std::size_t>(limits::kClientDescriptorShare *
+                                                           static_cast<double>(for_peers(c))));
 }
 std::size_t for_servers(const NodeConfig& c) { return for_peers(c) - for_clients(c); }
 
@@ -67,7 +68,7 @@
   } catch (const boost::system::system_error& x) {
     if (!is_system_shortage(x.code())) throw;
     log::warning("node", "no socket to listen with: tried again", {{"why", x.code().message()}});
-    timers_.after(facts::kAcceptPause, [this] { serve_with_retry(); });
+    timers_.after(limits::kAcceptRetryDelay, [this] { serve_with_retry(); });
   }
 }
 
@@ -78,7 +79,7 @@
     admin_server_.listen(*config_.control);
   } catch (const boost::system::system_error& x) {
     if (!is_system_shortage(x.code())) throw;
-    timers_.after(facts::kAcceptPause, [this] { start_admin_server(); });
+    timers_.after(limits::kAcceptRetryDelay, [this] { start_admin_server(); });
   }
 }
 
@@ -120,7 +121,7 @@
     serve();
   } catch (const std::exception& x) {
     log::warning("node", std::string("field 'listen': ") + x.what());
-    timers_.after(facts::kLongestBackoff, [this] { serve_with_retry(); });
+    timers_.after(limits::kMaxBackoff, [this] { serve_with_retry(); });
   }
 }
 
@@ -133,7 +134,7 @@
 void Node::request_state_when_ready() {
   if (serving_ || on_drained_) return;
   if (is_ready()) return hot_restart_.request_state();
-  timers_.after(facts::kAcceptPause, [this] { request_state_when_ready(); });
+  timers_.after(limits::kAcceptRetryDelay, [this] { request_state_when_ready(); });
 }
 
 nlohmann::json Node::export_state() {
@@ -195,7 +196,7 @@
 // part that keeps a crowd from costing every request a handshake; connections that idle give way to
 // them. It is had back when the servers need it, from clients that hold nothing that was taken.
 bool Node::can_lend_descriptor() const {
-  const auto keep = static_cast<std::size_t>(facts::kServersKeep *
+  const auto keep = static_cast<std::size_t>(limits::kServerDescriptorFloorShare *
                                              static_cast<double>(upstream_.max_connections()));
   const auto all = http_server_.max_sessions() + upstream_.max_connections();
   const auto busy = upstream_.size() - upstream_.stats().idle;
@@ -249,7 +250,7 @@
     std::erase_if(retired_classes_, [&](const auto& l) {
       return l.request_class.name == c.name && l.request_class.idempotency == c.idempotency;
     });
-    retired_classes_.push_back({c, timers_.now() + facts::kClassesTurn + c.deadline});
+    retired_classes_.push_back({c, timers_.now() + limits::kClassSwitchDelay + c.deadline});
   }
   config_.settings.settings = config.settings.settings;
   config_.keep_alive = config.keep_alive;
@@ -305,7 +306,7 @@
   http_server_.drain(longest);
   if (coordination_ && !handed_over_) {
     coordination_->step_down();
-    step_down_deadline_ = timers_.now() + facts::kGivingOn;
+    step_down_deadline_ = timers_.now() + limits::kStepDownTimeout;
   }
   if (gossip_ && !handed_over_) gossip_->leave();
   timers_.at(http_server_.drain_deadline(), [this] { abandon_unanswered(); });
@@ -332,7 +333,7 @@
                         timers_.now() >= step_down_deadline_;
   const bool answered = open_requests_.empty() || (abandoned_unanswered_ && concurrent_ == 0);
   if (answered && http_server_.drained() && given_on) return on_drained_();
-  timers_.after(facts::kAcceptPause, [this] { wait_until_drained(); });
+  timers_.after(limits::kAcceptRetryDelay, [this] { wait_until_drained(); });
 }
 
 // Once ready, always ready: a counter that has moved is tried while requests come in.
@@ -677,7 +678,7 @@
 // its time.
 void Node::watch_overdue() {
   if (overdue_timer_ || open_requests_.empty()) return;
-  overdue_timer_ = timers_.after(facts::kOverdueLook, [this] {
+  overdue_timer_ = timers_.after(limits::kOverdueCheckInterval, [this] {
     overdue_timer_.reset();
     answer_overdue();
     watch_overdue();
@@ -688,7 +689,8 @@
   const Time now = timers_.now();
   std::vector<RequestId> overdue;
   for (const auto& [id, o] : open_requests_)
-    if (o.response_sink && !o.request_message->body_stream && o.state.overdue(now, facts::kOverdue))
+    if (o.response_sink && !o.request_message->body_stream &&
+        o.state.overdue(now, limits::kOverdueTolerance))
       overdue.push_back(id);
   for (const auto id : overdue) {
     on_invariant_violation(policy::InvariantViolation::response_overdue,
--- a/src/node/request_body_stream.hpp
+++ b/src/node/request_body_stream.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <utility>
 
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 
@@ -22,7 +22,7 @@
   void append(std::string_view piece) { buffered_.append(piece), notify(on_data_); }
   void finish() { complete_ = true, notify(on_data_); }
   void abort() { aborted_ = true, notify(on_data_); }
-  bool is_full() const { return buffered_.size() >= facts::kPiece; }
+  bool is_full() const { return buffered_.size() >= limits::kStreamChunkBytes; }
   void set_capacity_callback(std::function<void()> room) { on_capacity_ = std::move(room); }
 
   // For the connection. `more` is told of each piece, of the end, and if there will be none.
--- a/src/node/request_reader.cpp
+++ b/src/node/request_reader.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string_view>
 
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 namespace {
@@ -62,9 +62,9 @@
 
 CustomerId customer_of(const ParsedRequest& f) {
   const auto value = value_of_key(header_value(f, "Cookie"), ';', "client");
-  if (!value || value->size() != facts::kCustomerDigits) fail("the cookie names no client");
+  if (!value || value->size() != limits::kCustomerIdHexDigits) fail("the cookie names no client");
   const auto n = number_of<std::uint64_t>(*value, "the cookie's client", 16);
-  if (n >= facts::kCustomersBelow) fail("the cookie's client is out of range");
+  if (n >= limits::kCustomerIdEnd) fail("the cookie's client is out of range");
   return CustomerId(n);
 }
 
@@ -128,7 +128,7 @@
   a.customer = customer_of(message);
   const auto timeout = number_of<std::uint64_t>(header_value(message, "X-Timeout-Ms"),
                                                 "X-Timeout-Ms");
-  if (timeout == 0 || timeout > facts::kMaxTimeoutMs) fail("X-Timeout-Ms is out of range");
+  if (timeout == 0 || timeout > limits::kMaxTimeoutMs) fail("X-Timeout-Ms is out of range");
   // The time of a request counts from its last byte, however slowly it came.
   a.time_left = std::chrono::milliseconds(timeout);
   r.deadline = now + a.time_left;
@@ -138,14 +138,14 @@
     a.is_retry = true;
   }
   r.request_id = header_value(message, "X-Request-ID");
-  if (r.request_id.size() > facts::kMaxId) fail("X-Request-ID is too long");
+  if (r.request_id.size() > limits::kMaxIdBytes) fail("X-Request-ID is too long");
   const auto effect = s.classes[cls].idempotency;
   if (message.method() != (effect == Idempotency::idempotent ? http::verb::get : http::verb::post))
     throw RequestError(http::status::method_not_allowed, "the method does not go with the class");
   if (keyed != (effect == Idempotency::idempotency_key))
     fail("Idempotency-Key does not go with the class");
   if (keyed) r.idempotency_key = header_value(message, "Idempotency-Key");
-  if (r.idempotency_key.size() > facts::kMaxId) fail("Idempotency-Key is too long");
+  if (r.idempotency_key.size() > limits::kMaxIdBytes) fail("Idempotency-Key is too long");
   if (effect == Idempotency::idempotent && !message.body().empty())
     fail("a body does not go with the class");
   r.method = message.method();
--- a/src/node/response_writer.cpp
+++ b/src/node/response_writer.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <cstdio>
 
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 
@@ -11,7 +11,7 @@
                           std::optional<std::uint64_t> length, bool chunked, bool keep_alive,
                           std::size_t body) {
   std::string head;
-  head.reserve(facts::kHeadSize + body);  // at once
+  head.reserve(limits::kTypicalHeaderBytes + body);  // at once
   head.append("HTTP/1.1 ").append(std::to_string(static_cast<unsigned>(status))).append(" ");
   const auto reason = http::obsolete_reason(status);
   head.append(reason.data(), reason.size()).append("\r\n");
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail {
 
@@ -14,7 +14,7 @@
       keep_alive_(keep_alive),
       max_connections_(max_connections),
       callbacks_(owner) {
-  sweep_timer_ = timers_.after(facts::kSweep, [this] { sweep(); });
+  sweep_timer_ = timers_.after(limits::kPoolSweepInterval, [this] { sweep(); });
 }
 
 Upstream::~Upstream() { timers_.cancel(sweep_timer_); }
@@ -154,8 +154,8 @@
 // A server may close a connection that has idled for the time in the settings, and what is written
 // to it from then on is lost: the pool lets it go well before.
 Duration Upstream::idle_limit() const {
-  return Duration(
-      static_cast<Duration::rep>(facts::kIdlePart * static_cast<double>(keep_alive_.count())));
+  return Duration(static_cast<Duration::rep>(limits::kIdleTimeoutShare *
+                                             static_cast<double>(keep_alive_.count())));
 }
 
 void Upstream::sweep() {
@@ -163,7 +163,7 @@
   for (auto& [id, t] : targets_) t.pool.close_expired(now, idle_limit());
   std::erase_if(targets_,
                 [](const auto& e) { return !e.second.accepts_requests && e.second.pool.empty(); });
-  sweep_timer_ = timers_.after(facts::kSweep, [this] { sweep(); });
+  sweep_timer_ = timers_.after(limits::kPoolSweepInterval, [this] { sweep(); });
 }
 
 }  // namespace petrelrail
--- a/src/node/upstream_connection.cpp
+++ b/src/node/upstream_connection.cpp
@@ -7,7 +7,7 @@
 #include <cerrno>
 #include <cstdio>
 
-#include "facts.hpp"
+#include "limits.hpp"
 #include "policy/request_state.hpp"
 #include "response_writer.hpp"
 #include "upstream.hpp"
@@ -221,7 +221,8 @@
 
 void UpstreamConnection::read() {
   if (state_ == State::closed || std::exchange(read_pending_, true)) return;
-  const auto space = buffer_.prepare(streaming_ ? facts::kPiece : facts::kReadSize);
+  const auto space = buffer_.prepare(streaming_ ? limits::kStreamChunkBytes
+                                                : limits::kReadBufferBytes);
   *static_cast<char*>(space.data()) = kNothing;
   pending_read_buffer_ = static_cast<const char*>(space.data());
   socket_.async_read_some(space,
@@ -270,13 +271,14 @@
   if (state_ == State::closed) return;
   if (streaming_) return forward_chunk();
   // An answer that comes before its request is written whole is not read on for long.
-  if (state_ == State::writing && parser_->get().body().size() >= facts::kHeldBytes) return;
+  if (state_ == State::writing && parser_->get().body().size() >= limits::kMaxBufferedResponseBytes)
+    return;
   read();
 }
 
 void UpstreamConnection::reset_parser() {
   parser_.emplace();
-  parser_->header_limit(facts::kMaxHeader);
+  parser_->header_limit(limits::kMaxHeaderBytes);
   parser_->body_limit(boost::none);
   parser_->eager(true);
 }
@@ -287,7 +289,7 @@
   while (!parser_->is_done() && buffer_.size() > 0) {
     buffer_.consume(parser_->put(buffer_.data(), wrong));
     // The parser leaves a line of chunks and a trailer where they are until they are whole.
-    if (wrong == http::error::need_more) return buffer_.size() < facts::kMaxHeader;
+    if (wrong == http::error::need_more) return buffer_.size() < limits::kMaxHeaderBytes;
     if (wrong) return false;
     // An interim answer (1xx) is followed by the final one.
     if (parser_->is_done() &&
@@ -299,12 +301,13 @@
 
 void UpstreamConnection::start_hold_timer() {
   response_started_ = upstream_.timers_.now();
-  hold_timer_ = upstream_.timers_.after(facts::kHeldTime, [self = shared_from_this()] {
-    self->hold_timer_.reset();
-    if (!self->should_stream()) return;
-    self->start_streaming();
-    if (self->state_ != State::closed) self->forward_chunk();
-  });
+  hold_timer_ = upstream_.timers_.after(limits::kMaxResponseBufferTime,
+                                        [self = shared_from_this()] {
+                                          self->hold_timer_.reset();
+                                          if (!self->should_stream()) return;
+                                          self->start_streaming();
+                                          if (self->state_ != State::closed) self->forward_chunk();
+                                        });
 }
 
 // Whether the part that has come should pass on now. What is held until then may be tried elsewhere
@@ -316,9 +319,10 @@
   if (answer.body().empty()) return false;
   const auto length = parser_->content_length();
   return answer.result() == http::status::ok && state_ == State::waiting &&
-         (answer.body().size() >= facts::kHeldBytes || (length && *length > facts::kMaxBody) ||
+         (answer.body().size() >= limits::kMaxBufferedResponseBytes ||
+          (length && *length > limits::kMaxBodyBytes) ||
           (response_started_ != Time{} &&
-           upstream_.timers_.now() - response_started_ >= facts::kHeldTime));
+           upstream_.timers_.now() - response_started_ >= limits::kMaxResponseBufferTime));
 }
 
 void UpstreamConnection::start_streaming() {
@@ -366,11 +370,11 @@
 // request's time: if it is not whole soon after that, its client is told so.
 void UpstreamConnection::arm_stall_timer(AttemptOutcome otherwise, AttemptEndReason why) {
   const Time now = upstream_.timers_.now();
-  Time until = now + facts::kStalled;
+  Time until = now + limits::kStreamStallTimeout;
   const auto length = streaming_ ? parser_->content_length() : boost::none;
-  if (streaming_ && (length ? *length : forwarded_bytes_) <= facts::kMaxBody)
-    until = std::min(until,
-                     std::max(now, exchange_->request_message->deadline + facts::kFinalLate));
+  if (streaming_ && (length ? *length : forwarded_bytes_) <= limits::kMaxBodyBytes)
+    until = std::min(
+        until, std::max(now, exchange_->request_message->deadline + limits::kMaxResponseLateness));
   upstream_.timers_.cancel(deadline_timer_);
   deadline_timer_ = upstream_.timers_.at(until, [self = shared_from_this(), otherwise, why] {
     self->deadline_timer_.reset();
--- a/src/world/model.cpp
+++ b/src/world/model.cpp
@@ -7,7 +7,7 @@
 #include "common/time_math.hpp"
 #include "configuration.hpp"
 #include "fleet/members.hpp"
-#include "node/facts.hpp"
+#include "node/limits.hpp"
 
 namespace petrelrail::world {
 namespace {
@@ -198,10 +198,11 @@
   // The servers' share of the descriptors, as src/node/node reckons it. What clients lend or borrow
   // is not modelled.
   std::size_t most_links() const {
-    const auto own = facts::kOwnDescriptors + facts::kCounterLinks;
+    const auto own = limits::kReservedDescriptors + limits::kCounterConnections;
     const auto all = static_cast<double>(
         std::max<std::uint64_t>(model_.scenario_.fleet.sockets, own + 1) - own);
-    return std::max<std::size_t>(1, static_cast<std::size_t>(all * (1 - facts::kClientShare)));
+    return std::max<std::size_t>(
+        1, static_cast<std::size_t>(all * (1 - limits::kClientDescriptorShare)));
   }
   std::size_t open_links() const {
     std::size_t open = 0;
@@ -243,7 +244,9 @@
     const auto view = members_->view(now);
     happened(FleetView{view->living + view->unknown});
   }
-  Duration keep() const { return from_seconds(facts::kIdlePart * model_.scenario_.servers.idle_s); }
+  Duration keep() const {
+    return from_seconds(limits::kIdleTimeoutShare * model_.scenario_.servers.idle_s);
+  }
 
   template <class What>
   void later(Duration delay, What what) {
@@ -387,7 +390,7 @@
     if (met == Connect::refused || (met == Connect::up && now < counter_up_at_))
       return happened(CounterResponse{s.key, CounterOutcome::refused, 0, {}});
     const bool dead = met == Connect::silent &&
-                      now - heard_ > facts::kCounterSilent * settings_.counter_timeout;
+                      now - heard_ > limits::kCounterSilenceTimeouts * settings_.counter_timeout;
     counter_lost_ = counter_lost_ || dead;
     const auto told = std::make_shared<bool>(false);
     later(settings_.counter_timeout, [key = s.key, told, dead](Process& p) {
@@ -494,8 +497,9 @@
 void Model::drain(const std::shared_ptr<Process>& process, Time from) {
   if (process->ended()) return;
   auto& n = nodes_[process->node()];
-  if (n.stalled || !process->idle() || agenda_.now() < from + facts::kNewAfterTerm)
-    return agenda_.after(facts::kAcceptPause, [this, process, from] { drain(process, from); });
+  if (n.stalled || !process->idle() || agenda_.now() < from + limits::kNewConnectionsAfterTerm)
+    return agenda_.after(limits::kAcceptRetryDelay,
+                         [this, process, from] { drain(process, from); });
   process->end();
   std::erase(n.leaving, process);
   if (n.serving != process) return;
--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -4,7 +4,7 @@
 
 #include <set>
 
-#include "facts.hpp"
+#include "limits.hpp"
 #include "loopback_peers.hpp"
 #include "metrics.hpp"
 
@@ -92,7 +92,7 @@
        {"", "?", "?who", "?who=", "?who=%2", "?who=%zz", "?who=s-1&who=s-1", "?whom=s-1"})
     EXPECT_EQ(call("POST", std::string("/price-servers/enable") + bad), 400) << bad;
   EXPECT_EQ(call("what is this\r\n\r\n"), 400);
-  EXPECT_EQ(call("GET /" + std::string(facts::kMaxHeader, 'x') + " HTTP/1.1\r\n\r\n"), 400);
+  EXPECT_EQ(call("GET /" + std::string(limits::kMaxHeaderBytes, 'x') + " HTTP/1.1\r\n\r\n"), 400);
   EXPECT_TRUE(out.empty());
 }
 TEST_F(ControlTest, OtherPathsAreAnsweredAtOnceOrLaterAndOnlyOnce) {
@@ -120,7 +120,7 @@
   w->send("GET /late HTTP/1.1\r\nHost: x\r\n\r\n");
   ASSERT_TRUE(loop.until([&] { return last.has_value(); }));
   std::vector<std::shared_ptr<Wire>> stalled;
-  for (std::size_t i = 0; i < 2 * facts::kControlCallers; ++i) {
+  for (std::size_t i = 0; i < 2 * limits::kMaxAdminConnections; ++i) {
     stalled.push_back(loop.connect(control.listens_at()));
     stalled.back()->send("GET /rea");
   }
@@ -133,13 +133,13 @@
 // all the same.
 TEST_F(ControlTest, CallersThatStallHoldUpNobody) {
   std::vector<std::shared_ptr<Wire>> stalled;
-  for (std::size_t i = 0; i < 3 * facts::kControlCallers; ++i) {
+  for (std::size_t i = 0; i < 3 * limits::kMaxAdminConnections; ++i) {
     stalled.push_back(loop.connect(control.listens_at()));
     stalled.back()->send("GET /rea");
   }
   const auto begun = std::chrono::steady_clock::now();
   EXPECT_EQ(call("GET", "/ready"), 200);
-  EXPECT_LT(std::chrono::steady_clock::now() - begun, facts::kControlCall);
+  EXPECT_LT(std::chrono::steady_clock::now() - begun, limits::kAdminIoTimeout);
   EXPECT_TRUE(
       loop.until([&] { return std::ranges::all_of(stalled, [](auto& w) { return w->ended; }); }));
 }
--- a/tests/counter_client_test.cpp
+++ b/tests/counter_client_test.cpp
@@ -3,7 +3,7 @@
 
 #include <list>
 
-#include "facts.hpp"
+#include "limits.hpp"
 #include "loopback_peers.hpp"
 
 namespace petrelrail::test {
@@ -149,10 +149,10 @@
     w.send("ok 2\r\n");
   });
   start(server.at(), 5s);
-  ASSERT_TRUE(loop.until([&] { return server.wires.size() == facts::kCounterLinks; }));
+  ASSERT_TRUE(loop.until([&] { return server.wires.size() == limits::kCounterConnections; }));
   call(4);
   ASSERT_TRUE(wait_for(1));
-  ASSERT_TRUE(loop.until([&] { return server.wires.size() > facts::kCounterLinks; }));
+  ASSERT_TRUE(loop.until([&] { return server.wires.size() > limits::kCounterConnections; }));
   ASSERT_TRUE(loop.until([&] {
     told.clear();
     call(4);
@@ -181,9 +181,9 @@
 TEST_F(CounterTest, SilentConnectionIsReplaced) {
   Peer server(loop.io);
   start(server.at(), 20ms);
-  ASSERT_TRUE(loop.until([&] { return server.wires.size() == facts::kCounterLinks; }));
+  ASSERT_TRUE(loop.until([&] { return server.wires.size() == limits::kCounterConnections; }));
   call(4);
-  EXPECT_TRUE(loop.until([&] { return server.wires.size() > facts::kCounterLinks; }));
+  EXPECT_TRUE(loop.until([&] { return server.wires.size() > limits::kCounterConnections; }));
   ASSERT_EQ(told.size(), 1u);
   EXPECT_EQ(told[0].outcome, CounterOutcome::timeout);
 }
@@ -200,8 +200,9 @@
   start(server.at(), 20ms);
   call(4);
   ASSERT_TRUE(wait_for(1));
-  ASSERT_TRUE(loop.until(
-      [&] { return server.wires.size() > facts::kCounterLinks + 1; }));  // two have followed it
+  ASSERT_TRUE(loop.until([&] {
+    return server.wires.size() > limits::kCounterConnections + 1;
+  }));  // two have followed it
   EXPECT_EQ(heard, 0);
   silent = false;
   EXPECT_TRUE(loop.until([&] { return heard > 0; }));
@@ -261,11 +262,11 @@
                 return l == "ping" ? std::string("pong\r\n") : std::string("ok 1\r\n");
               }));
   start(server.at());
-  ASSERT_TRUE(loop.until([&] { return pings >= facts::kCounterLinks; }));
+  ASSERT_TRUE(loop.until([&] { return pings >= limits::kCounterConnections; }));
   call(4);
   ASSERT_TRUE(wait_for(1));
   EXPECT_EQ(told[0].outcome, CounterOutcome::ok);
-  EXPECT_EQ(server.wires.size(), facts::kCounterLinks);
+  EXPECT_EQ(server.wires.size(), limits::kCounterConnections);
 }
 
 }  // namespace
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -2,7 +2,7 @@
 // scripted.
 #include <boost/beast/http/string_body.hpp>
 
-#include "facts.hpp"
+#include "limits.hpp"
 #include "node_fixture.hpp"
 
 namespace petrelrail::test {
@@ -369,7 +369,7 @@
   expect(405, [](Ask& a) { a.method = "DELETE"; });
   auto huge = notice().text();
   huge.replace(huge.find("Content-Length: 1"), 17,
-               "Content-Length: " + std::to_string(facts::kMaxStreamedBody + 1));
+               "Content-Length: " + std::to_string(limits::kMaxStreamedBodyBytes + 1));
   EXPECT_EQ(status(huge), 413);
   expect(431, [](Ask& a) { a.more = "X-Long: " + std::string(9000, 'x') + "\r\n"; });
   EXPECT_EQ(status("rubbish\r\n\r\n"), 400);
@@ -478,7 +478,7 @@
 // ---- One budget of descriptors ------------------------------------------------------------------
 
 // 20 for both: a share of 11 for clients and 9 for servers, of which 5 can be lent to a crowd.
-constexpr std::size_t kTwenty = facts::kOwnDescriptors + facts::kCounterLinks + 20;
+constexpr std::size_t kTwenty = limits::kReservedDescriptors + limits::kCounterConnections + 20;
 
 struct CrowdTest : NodeTest {
   // Eight requests on these sessions, each of another customer; they are out at the same time.
@@ -595,7 +595,7 @@
     return value(figures, "accept_failures") >= 5;
   }));
   const auto passed = std::chrono::steady_clock::now() - began;
-  EXPECT_LE(value(figures, "accept_failures"), passed / facts::kAcceptPause + 1);
+  EXPECT_LE(value(figures, "accept_failures"), passed / limits::kAcceptRetryDelay + 1);
   EXPECT_LE(value(figures, "sessions"), std::max(0L, 41 - value(figures, "accept_failures")));
 }
 
--- a/tests/server_race_test.cpp
+++ b/tests/server_race_test.cpp
@@ -2,7 +2,7 @@
 // a write, a connect and the end of what it was for. Each order is forced: what crosses is in the
 // socket before the loop goes on.
 #include "connection_pool_fixture.hpp"
-#include "facts.hpp"
+#include "limits.hpp"
 
 namespace petrelrail::test {
 namespace {
@@ -81,7 +81,7 @@
   expect_end(2, AttemptOutcome::ok);
   EXPECT_EQ(ends[2].answer.body, "x");
   // When it has rested it is used again.
-  ASSERT_TRUE(passed(timers.now() + facts::kLongestRest));
+  ASSERT_TRUE(passed(timers.now() + limits::kMaxIdleAfterUnsolicitedData));
   server.wires[2]->came = answer;
   send();
   expect_end(3, AttemptOutcome::ok);
@@ -141,13 +141,13 @@
     pool.return_idle(c);
     return c;
   };
-  EXPECT_EQ(taken(second + facts::kRest), made[1]);
-  EXPECT_EQ(taken(second + facts::kRest - Duration(1)), made[0]);
+  EXPECT_EQ(taken(second + limits::kPreferredIdleTime), made[1]);
+  EXPECT_EQ(taken(second + limits::kPreferredIdleTime - Duration(1)), made[0]);
   EXPECT_EQ(taken(first + Duration(1)), made[0]);
   EXPECT_EQ(own.idle, 2u);
   pool.on_unsolicited_data(second, second);
-  EXPECT_EQ(pool.acquire(first + facts::kRestOutOfTurn - Duration(1), 30s), nullptr);
-  EXPECT_EQ(taken(first + facts::kRestOutOfTurn), made[0]);
+  EXPECT_EQ(pool.acquire(first + limits::kMinIdleAfterUnsolicitedData - Duration(1), 30s), nullptr);
+  EXPECT_EQ(taken(first + limits::kMinIdleAfterUnsolicitedData), made[0]);
 }
 
 // ---- Between choice and write -------------------------------------------------------------------
@@ -167,7 +167,8 @@
   expect_end(1, AttemptOutcome::never_sent);
   ASSERT_EQ(figures().idle, 1u);
   looked = nullptr;
-  upstream->set_timeouts(250ms, std::chrono::duration_cast<Duration>(50ms / facts::kIdlePart));
+  upstream->set_timeouts(250ms,
+                         std::chrono::duration_cast<Duration>(50ms / limits::kIdleTimeoutShare));
   send();
   ASSERT_TRUE(ended(3));
   EXPECT_EQ(server.wires.size(), 2u);
@@ -347,7 +348,7 @@
 // A line of chunks or a trailer without an end is no answer, and not kept.
 TEST_F(ServerCrossing, ALineThatNeverEndsIsNoAnswer) {
   const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  const std::string long_line(2 * facts::kMaxHeader, 'x');
+  const std::string long_line(2 * limits::kMaxHeaderBytes, 'x');
   for (const auto& text :
        {"HTTP/1.1 200 " + long_line, "HTTP/1.1 200 OK\r\nX: " + long_line,
         chunked + "1;" + long_line, chunked + "1\r\na\r\n0;" + long_line,
@@ -396,7 +397,7 @@
   ASSERT_TRUE(loop.until([&] { return !all(server).empty(); }));
   const auto wire = server.wires[0];
   wire->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  const std::string piece(facts::kPiece, 'x');
+  const std::string piece(limits::kStreamChunkBytes, 'x');
   for (std::size_t n = 1; n <= 4; ++n) {
     wire->send("4000\r\n" + piece + "\r\n");
     ASSERT_TRUE(loop.until([&] { return streamed.size() == n * piece.size(); }));
--- a/tests/source_limits.cmake
+++ b/tests/source_limits.cmake
@@ -37,10 +37,10 @@
   message(SEND_ERROR "the top comment of src/policy/admission_controller.hpp must name the interface file")
 endif()
 
-# src/node/facts.hpp is left out: it names the facts of the protocol and the safety limits of the sockets, each
+# src/node/limits.hpp is left out: it names the values of the protocol and the safety limits of the sockets, each
 # with its reason, so that the rest of the edge node needs no number of its own.
 file(GLOB node_files RELATIVE ${ROOT} ${ROOT}/src/node/*.hpp ${ROOT}/src/node/*.cpp)
-list(REMOVE_ITEM node_files src/node/facts.hpp)
+list(REMOVE_ITEM node_files src/node/limits.hpp)
 file(GLOB common_files RELATIVE ${ROOT} ${ROOT}/src/common/*.hpp)
 if(NOT node_files)
   message(SEND_ERROR "src/node holds no sources to check")
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -1,7 +1,7 @@
 // Attempts over loopback sockets: every row of the protocol's table of outcomes, and the pools.
 #include "upstream.hpp"
 
-#include "facts.hpp"
+#include "limits.hpp"
 #include "loopback_peers.hpp"
 
 namespace petrelrail::test {
@@ -148,7 +148,7 @@
     EXPECT_TRUE(pieces == body) << form.text.substr(0, 60);
     EXPECT_EQ(ends[0].connections, form.kept ? 1u : 0u);
   }
-  EXPECT_LE(largest, 2 * facts::kPiece);
+  EXPECT_LE(largest, 2 * limits::kStreamChunkBytes);
 }
 // Back-pressure: while the client has not taken a piece, nothing more is read.
 TEST_F(UpstreamTest, NothingMoreIsReadUntilTheClientHasTakenAPiece) {
@@ -199,7 +199,7 @@
 // pass for the whole.
 TEST_F(UpstreamTest, AnAnswerWithoutALengthThatIsResetIsNotWhole) {
   for (const std::size_t size :
-       {std::size_t{3}, facts::kHeldBytes + 1}) {  // held, and on its way in pieces
+       {std::size_t{3}, limits::kMaxBufferedResponseBytes + 1}) {  // held, and on its way in pieces
     ends.clear();
     Peer server(loop.io, [&](Wire& w) {
       if (w.message().empty()) return;
--- a/tests/watch_race_test.cpp
+++ b/tests/watch_race_test.cpp
@@ -5,15 +5,17 @@
 namespace petrelrail::test {
 namespace {
 
-// The sums that PROTOCOL bounds stand as static_asserts beside the limits, in facts.hpp. Here: the
+// The sums that PROTOCOL bounds stand as static_asserts beside the limits, in limits.hpp. Here: the
 // sites' graces.
 constexpr bool fits(Duration grace) {
-  const auto limits = facts::agent_limits(grace);
-  return limits.answer + limits.pause < grace && limits.answer <= facts::kAgentAnswer &&
-         limits.pause <= facts::kAgentLongestPause;
+  const auto limits = limits::agent_limits(grace);
+  return limits.poll_interval + limits.max_reconnect_delay < grace &&
+         limits.poll_interval <= limits::kAgentTimeout &&
+         limits.max_reconnect_delay <= limits::kMaxWatchReconnectDelay;
 }
 static_assert(fits(1s) && fits(250ms) && fits(150ms) && fits(5s));
-static_assert(facts::agent_limits(0s).answer >= 20ms && facts::agent_limits(0s).pause >= 20ms);
+static_assert(limits::agent_limits(0s).poll_interval >= 20ms &&
+              limits::agent_limits(0s).max_reconnect_delay >= 20ms);
 
 struct WatchCrossing : DiscoveryTest {
   using Figure = std::uint64_t Discovery::Stats::*;
@@ -58,7 +60,7 @@
   watches[0]->send(chunk(list(51, false, member("s-0000000b", "DRAINING")) + "\n"));
   ASSERT_TRUE(wait_for(3));
   const auto asked_before = discovery.stats().polls;
-  ASSERT_TRUE(pass(3 * discovery.limits().answer));
+  ASSERT_TRUE(pass(3 * discovery.limits().poll_interval));
   EXPECT_EQ(discovery.stats().polls, asked_before);
   EXPECT_EQ(discovery.stats().watches, 1U);
 }
@@ -66,10 +68,10 @@
 TEST_F(WatchCrossing, AnAgentWhoseFirstLineIsEmptyAndLateKeepsItsWatch) {
   start();
   watch()->send(kHead);
-  ASSERT_TRUE(pass(facts::kWatchLine));
+  ASSERT_TRUE(pass(limits::kWatchKeepAliveInterval));
   EXPECT_EQ(discovery.stats().watches, 1U);
   watches[0]->send(chunk("\n"));
-  ASSERT_TRUE(pass(facts::kWatchLine));
+  ASSERT_TRUE(pass(limits::kWatchKeepAliveInterval));
   EXPECT_EQ(discovery.stats().watches, 1U);
 }
 TEST_F(WatchCrossing, AHeadAloneDoesNotKeepAWatch) {
@@ -121,14 +123,14 @@
 // ---- The grace of the site ----------------------------------------------------------------------
 
 TEST_F(WatchCrossing, LimitsFollowTheGraceAlsoAtHangUp) {
-  EXPECT_EQ(discovery.limits().answer, 500ms);
-  EXPECT_EQ(discovery.limits().pause, 250ms);
+  EXPECT_EQ(discovery.limits().poll_interval, 500ms);
+  EXPECT_EQ(discovery.limits().max_reconnect_delay, 250ms);
   discovery.set_drain_grace(150ms);
-  EXPECT_EQ(discovery.limits().answer, 75ms);
-  EXPECT_EQ(discovery.limits().pause, 37500us);
+  EXPECT_EQ(discovery.limits().poll_interval, 75ms);
+  EXPECT_EQ(discovery.limits().max_reconnect_delay, 37500us);
   discovery.set_drain_grace(10s);
-  EXPECT_EQ(discovery.limits().answer, facts::kAgentAnswer);
-  EXPECT_EQ(discovery.limits().pause, facts::kAgentLongestPause);
+  EXPECT_EQ(discovery.limits().poll_interval, limits::kAgentTimeout);
+  EXPECT_EQ(discovery.limits().max_reconnect_delay, limits::kMaxWatchReconnectDelay);
 }
 // The next question goes out beside the one before it, which may still be answered.
 TEST_F(WatchCrossing, QuestionsGoOutBesideAnAgentThatIsSilent) {
@@ -168,8 +170,9 @@
   start();
   ASSERT_NE(question(20), nullptr);
   settle();
-  EXPECT_LE(std::ranges::count_if(agent.wires, [](const auto& w) { return !w->ended; }),
-            static_cast<long>(facts::kAgentQuestions) + 1);  // one of these may just be coming
+  EXPECT_LE(
+      std::ranges::count_if(agent.wires, [](const auto& w) { return !w->ended; }),
+      static_cast<long>(limits::kMaxAgentConnections) + 1);  // one of these may just be coming
 }
 // An empty line as well says that all is well: what came before it lengthens no pause after it.
 TEST_F(WatchCrossing, AnEmptyLineEndsThePausesGrowth) {
@@ -184,7 +187,7 @@
   watches[4]->reset();
   ASSERT_TRUE(wait_for(&Discovery::Stats::lost, lost + 1));
   bool late = false;
-  timers.after((facts::kFirstBackoff + facts::kAgentLongestPause) / 2, [&] { late = true; });
+  timers.after((limits::kMinBackoff + limits::kMaxWatchReconnectDelay) / 2, [&] { late = true; });
   ASSERT_TRUE(wait_for(&Discovery::Stats::watches, 6));
   EXPECT_FALSE(late);
 }
@@ -210,7 +213,7 @@
     EXPECT_TRUE(loop.until(
         [&] { return std::ranges::all_of(agent.wires, [](auto& w) { return w->ended; }); }));
     EXPECT_EQ(asked.size() + questions.size(), before);
-    ASSERT_TRUE(pass(2 * discovery.limits().answer));
+    ASSERT_TRUE(pass(2 * discovery.limits().poll_interval));
     EXPECT_EQ(there.size(), 1U);  // nothing is left that would ask once more
     EXPECT_EQ(told.size(), 2U);
   }
@@ -280,11 +283,12 @@
     watches.back()->send(chunk(list(revision + 1, false, member("s-0000000d")) + "\n"));
     ASSERT_TRUE(wait_for(4));
     EXPECT_EQ(told[3].kind, EndpointListKind::delta);
-    ASSERT_TRUE(pass(2 * discovery.limits().answer));
+    ASSERT_TRUE(pass(2 * discovery.limits().poll_interval));
     EXPECT_EQ(discovery.stats().watches, watches_before);
     EXPECT_EQ(discovery.stats().polls, asked_before);
   }
-  void on_a_watch(const std::string& first_line, Duration limit = facts::kDiscoveryNotified) {
+  void on_a_watch(const std::string& first_line,
+                  Duration limit = limits::kDiscoveryNotificationDelay) {
     ASSERT_NO_FATAL_FAILURE(held());
     on_watch = [=](Wire& w) { w.send(kHead + chunk(first_line + "\n")); };
     on_question = [](Wire& w) { w.send(whole(7, member("s-0000000c"))); };
@@ -303,13 +307,13 @@
   on_watch = [](Wire& w) { w.send(kHead); };
   on_question = [](Wire& w) { w.send(whole(7, member("s-0000000c"))); };
   watches[0]->reset();
-  expect_taken(facts::kDiscoveryNotified);
+  expect_taken(limits::kDiscoveryNotificationDelay);
 }
 TEST_F(VersionsThatGoBack, InTheMiddleOfAWatch) {
   ASSERT_NO_FATAL_FAILURE(held());
   on_question = [](Wire& w) { w.send(whole(7, member("s-0000000c"))); };
   watches[0]->send(chunk(list(5, false, member("s-0000000a")) + "\n"));
-  expect_taken(facts::kDiscoveryNotified);
+  expect_taken(limits::kDiscoveryNotificationDelay);
 }
 // Between the question and its answer the agent goes on: an answer from before a line that was
 // passed over is not taken.
@@ -322,7 +326,7 @@
   ASSERT_NE(second, nullptr);
   ASSERT_TRUE(loop.until([&] { return first->ended; }));
   second->send(whole(6, member("s-0000000c")));
-  expect_taken(facts::kDiscoveryNotified, 6);
+  expect_taken(limits::kDiscoveryNotificationDelay, 6);
 }
 // The agent is silent, and refuses the question at first: it is asked again.
 TEST_F(VersionsThatGoBack, WhereTheFirstQuestionsAreLost) {
@@ -333,7 +337,7 @@
     w.send(whole(7, member("s-0000000c")));
   };
   watches[0]->reset();
-  expect_taken(facts::kDiscoveryNotified);
+  expect_taken(limits::kDiscoveryNotificationDelay);
 }
 // Moved by SIGHUP to an agent that holds less: an empty line alone, or nothing at all.
 TEST_F(VersionsThatGoBack, AtAnAgentThatDiscoveryMovedTo) {
@@ -348,7 +352,7 @@
                }
              }};
   discovery.set_agent(moved.at(), moved.text());
-  expect_taken(facts::kNotifiedAfterReload, 0);
+  expect_taken(limits::kReloadNotificationDelay, 0);
 }
 // What a watch says late of a time before the list that came beside it would undo what is known.
 TEST_F(WatchCrossing, ChangesThatAListBesideHasOvertakenArePassedOver) {
