--- a/examples/example.cpp
+++ b/examples/example.cpp
@@ -1,4 +1,5 @@
-// The smallest host: one server, one customer, one request; a counter that answers at once.
+// Minimal host: one price server, one customer, one request, and a counter that responds
+// immediately.
 #include <cstdio>
 #include <petrelrail/gateway.hpp>
 
--- a/include/petrelrail/actions.hpp
+++ b/include/petrelrail/actions.hpp
@@ -1,4 +1,4 @@
-// Actions: what the host must do for a gateway, in the given order.
+// Actions that the host executes for a gateway, in the given order.
 #pragma once
 
 #include <cstdint>
@@ -9,54 +9,74 @@
 
 namespace petrelrail {
 
-struct Send {  // forward the next attempt of a request; attempts are numbered 0, 1, 2 in this order
+// Forwards the next attempt of a request. Attempts are numbered 0, 1, 2 in order of these actions.
+struct Send {
   RequestId request{};
   EndpointId endpoint{};
   Duration timeout{};
-  Time start_deadline = Time::max();  // its first byte comes before this or not at all, on the
-                                      // clock of events
+  // Latest time for the attempt's first byte, on the clock of events. Past it the attempt is not
+  // sent.
+  Time start_deadline = Time::max();
 };
 enum class RejectionReason {
-  quota_exhausted,       // nothing is left of its customer's quota in this window
-  concurrency_limit,     // as many of its customer's requests are out as the plan allows
-  counter_unavailable,   // the counter does not answer, and it needs more than is held
-  counter_rate_limited,  // no call to the counter can be made for it in time
-  lease_timeout,         // no lease came in time
-  no_endpoint,           // no price server can take it
-  queue_timeout,         // no place at a price server came free in time
-  objective_missed,      // an answer would be worth nothing any more
-  best_effort,           // best effort: it gives way to all others
-  attempt_failed,        // its attempt failed without harm, and none is left
+  // The customer's quota for this window is used up.
+  quota_exhausted,
+  // The plan's limit of concurrent requests is reached.
+  concurrency_limit,
+  // The counter does not respond, and the lease holds too few units.
+  counter_unavailable,
+  // The limit on counter calls allows no call in time.
+  counter_rate_limited,
+  // No lease was granted in time.
+  lease_timeout,
+  // No price server can take the request.
+  no_endpoint,
+  // No price server had capacity in time.
+  queue_timeout,
+  // An answer would be worthless after its latency objective.
+  objective_missed,
+  // Best-effort requests yield to all others.
+  best_effort,
+  // The attempt failed without side effects, and no further attempt is allowed.
+  attempt_failed,
 };
-struct Reject {  // final answer: rejected, trying again does no harm
+// Final answer: rejected; a retry by the client is harmless.
+struct Reject {
   RequestId request{};
   Duration retry_after{};
   RejectionReason reason{};
 };
-struct Fail {  // final answer: failed; it promises nothing about what ran
+// Final answer: failed; it is unknown whether the request ran.
+struct Fail {
   RequestId request{};
 };
-struct Cancel {  // stop waiting for one attempt; its AttemptEnded still comes
+// Stops waiting for an attempt. Its AttemptEnded still follows.
+struct Cancel {
   RequestId request{};
   std::uint32_t attempt = 0;
 };
-struct AddToCounter {  // add to a count at the counter service; one CounterResponse comes back
+// Adds to a count at the counter service. One CounterResponse follows.
+struct AddToCounter {
   CounterKey key{};
   double amount = 0;
-  Duration lifetime{};  // from the first call for a key on
+  Duration lifetime{};  // from the first call for a key
 };
-struct SetTimer {  // one TimerDue comes back after the delay, never at once
+// One TimerDue follows after the delay, never immediately.
+struct SetTimer {
   TimerId timer{};
   Duration delay{};
 };
-struct CheckHealth {  // check a server; one HealthCheckEnded comes back
+// Checks a server. One HealthCheckEnded follows.
+struct CheckHealth {
   EndpointId endpoint{};
 };
-struct ReleaseIdleConnections {  // let idle connections to a server go but for so many
+// Closes idle connections to a server, keeping at most `keep`.
+struct ReleaseIdleConnections {
   EndpointId endpoint{};
   std::uint32_t keep = 0;
 };
-struct Subscribe {};  // ask for changes of the server list; only where the settings need it
+// Subscribes to changes of the server list; only where the settings require it.
+struct Subscribe {};
 struct Log {
   std::string text;
 };
--- a/include/petrelrail/events.hpp
+++ b/include/petrelrail/events.hpp
@@ -1,4 +1,4 @@
-// Events: what the host tells a gateway.
+// Events that the host passes to a gateway.
 #pragma once
 
 #include <cstdint>
@@ -20,10 +20,11 @@
   ZoneIndex zone{};
   std::uint32_t cell = 0;
   EndpointPhase phase = EndpointPhase::ready;
-  std::optional<Time> started{};  // latest start; none: long ago
+  std::optional<Time> started{};  // latest start; nullopt: long ago
   double weight = 1;
 };
 
+// delta: changed entries only; full, cached: all entries; failed: no list was obtained
 enum class EndpointListKind { delta, full, cached, failed };
 
 struct EndpointListUpdate {
@@ -36,11 +37,11 @@
   ClassIndex request_class{};
   PlanIndex plan{};
   CustomerId customer{};
-  Duration time_left{};  // until the client gives up on this try
+  Duration time_left{};  // until the client gives up on this attempt
   double units = 1;
-  std::uint32_t gateways = 1;  // through how many gateways this customer may come
+  std::uint32_t gateways = 1;  // number of gateways that serve this customer
   bool is_retry = false;
-  bool best_effort = false;  // in no hurry: it gives way to all others wherever something is short
+  bool best_effort = false;  // yields to all other requests where capacity is short
 };
 
 enum class AttemptOutcome {
@@ -65,12 +66,12 @@
   AttemptOutcome outcome = AttemptOutcome::ok;
   Duration duration{};
   bool request_completed = false;  // the client has its final answer
-  double settled_units = 0;        // 0: not told
+  double settled_units = 0;        // units actually used; 0: not reported
   std::optional<LoadReport> load{};
-  bool body_consumed = false;   // a part of its body was passed on and is held no more: it can't be
-                                // sent again
-  Duration connect_duration{};  // what its connection took to come up; 0: one that idled was used,
-                                // or it is not known
+  // Part of the request body was forwarded and not kept, so it can't be sent again.
+  bool body_consumed = false;
+  // Time to establish the connection. 0: an idle one was used, or the time is unknown.
+  Duration connect_duration{};
 };
 
 struct HealthCheckEnded {
@@ -88,48 +89,44 @@
   RequestId request{};
 };
 
-enum class CounterOutcome {
-  ok,
-  refused,
-  timeout
-};  // refused: nothing was added; timeout: not known
+// refused: nothing was added; timeout: it is unknown whether the amount was added
+enum class CounterOutcome { ok, refused, timeout };
 
 struct CounterResponse {
   CounterKey key{};
   CounterOutcome outcome = CounterOutcome::ok;
-  double total = 0;  // valid when ok
+  double total = 0;  // valid if ok
   Duration duration{};
 };
 
-// The counter has answered something that adds nothing and costs it nothing: after a silence it is
-// there again.
+// The counter answered a request that adds nothing and costs it nothing: it is reachable again
+// after an outage.
 struct CounterRecovered {};
 
-// How many gateways of the fleet are there, this one among them, as far as is known. It changes how
-// often this one calls the counter, never what it holds.
+// Number of live gateways in the fleet, this one included, as far as known. Affects how often this
+// gateway calls the counter, never the units it holds.
 struct FleetView {
   std::uint32_t live_gateways = 1;
 };
 
-// The operators eject a server, or put it back. It holds whatever the list says of the
-// server.
+// Operators eject a server or put it back. Takes precedence over the list's entry for the server.
 struct OperatorEjection {
   EndpointId endpoint{};
   bool ejected = false;
 };
 
-// Other settings, which validate_change() accepts. Requests that are open keep those they began
-// under; class indices of what arrives from now on are positions in these.
+// New settings, which must pass validate_change(). Open requests keep the settings they began
+// under; class indices of later requests are positions in the new settings.
 struct SettingsChanged {
   std::shared_ptr<const Settings> settings;
 };
 
-// For a new gateway: it goes on where another one has left off.
+// Makes a new gateway continue from the state of its predecessor.
 struct RestoreState {
   std::shared_ptr<const HandoverState> state;
 };
 
-// Nothing has happened but that time has passed: what is due by then is done.
+// Only time has passed: actions that are due by then are returned.
 struct TimeAdvanced {};
 
 using Event = std::variant<EndpointListUpdate, RequestArrived, AttemptEnded, HealthCheckEnded,
--- a/include/petrelrail/gateway.hpp
+++ b/include/petrelrail/gateway.hpp
@@ -1,4 +1,4 @@
-// The interface of petrelrail: class Gateway, which turns events into actions. Decisions live in
+// Public interface of petrelrail: class Gateway turns events into actions. Decisions are made in
 // src/policy/.
 #pragma once
 
@@ -15,11 +15,11 @@
 
 namespace petrelrail {
 
-// What the host knows of its connections to the servers. Asked for while a server is chosen, so
-// that it is true at that moment; an event for each change would be two more for every request.
+// The host's connections to one price server. Queried while a server is selected, so the counts are
+// current; reporting each change as an event would add two events per request.
 struct ConnectionCounts {
-  std::uint32_t idle = 0;  // sound ones that a send takes without a handshake
-  std::uint32_t open = 0;  // all: idle, busy and coming up
+  std::uint32_t idle = 0;  // healthy; usable without a handshake
+  std::uint32_t open = 0;  // all: idle, busy and connecting
 };
 class ConnectionView {
  public:
@@ -29,33 +29,31 @@
   ~ConnectionView() = default;
 };
 
-// What a test or a monitor may look at: sizes of the tables.
+// Sizes of the internal tables, for tests and monitoring.
 struct TableSizes {
-  std::size_t requests = 0, customers = 0, endpoints = 0, calls = 0, timers = 0;
-  std::size_t waiting_calls = 0;  // to the counter, for their turn
+  std::size_t requests = 0, customers = 0, endpoints = 0, counter_calls = 0, timers = 0;
+  std::size_t queued_counter_calls = 0;
 };
 
-// The servers in the list, and those of them that this gateway avoids now, by hand or by choice.
+// Servers in the list, and those of them excluded by operators or by this gateway's own ejections.
 struct EndpointCounts {
-  std::size_t listed = 0, avoided = 0;
+  std::size_t listed = 0, excluded = 0;
 };
 
-// One gateway's decisions. It owns all its state, reads no clock, does no I/O and starts no thread;
-// calls on one object must not overlap, separate objects are independent. Events go in one by one
-// in the order in which they happened, each with the time at which it is handled; the returned
-// actions take effect at that time. The same seed, settings, events and links give the same
-// actions. After a restart make a new object.
+// The decisions of one gateway. Owns all its state, reads no clock, does no I/O and starts no
+// thread. Calls on one object must not overlap; separate objects are independent. Events are passed
+// one by one in the order in which they happened, each with the time at which it is handled; the
+// returned actions take effect at that time. The same seed, settings, events and connection counts
+// give the same actions. After a restart, create a new object.
 //
-// The constructor throws what validate() throws. handle()
-// throws only std::bad_alloc: ids it does not know, late outcomes and unwanted timers are passed
-// over. A host gives every arrived request id once, and exactly one AttemptEnded, HealthCheckEnded,
-// CounterResponse or TimerDue for each Send, CheckHealth, AddToCount or SetTimer, also for a
-// Cancel-led attempt.
+// The constructor throws what validate() throws. handle() throws only std::bad_alloc: unknown ids,
+// late outcomes and unexpected timers are ignored. A host uses every request id once, and passes
+// exactly one AttemptEnded, HealthCheckEnded, CounterResponse or TimerDue for each Send,
+// CheckHealth, AddToCounter or SetTimer, also for a cancelled attempt.
 class Gateway {
  public:
-  // Without a view of connections handshakes are not reckoned with. The view must outlive the
-  // object.
-  Gateway(Settings settings, std::uint64_t seed, const ConnectionView* links = nullptr);
+  // `connections` must outlive the object. If it is null, handshakes are not taken into account.
+  Gateway(Settings settings, std::uint64_t seed, const ConnectionView* connections = nullptr);
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
   ~Gateway();
@@ -63,11 +61,13 @@
   std::vector<Action> handle(Time now, const Event& event);
   TableSizes sizes() const;
   EndpointCounts endpoint_counts(Time now) const;
-  // Best-effort requests that may come now, beside all others.
+  // Number of best-effort requests that can be accepted now beside all others.
   std::uint32_t best_effort_capacity(Time now);
-  // What its successor needs. It goes on, for requests that still come here, with nothing held.
+  // Returns the state that a successor needs. This gateway continues, without held units, for
+  // requests that still arrive here.
   HandoverState export_state(Time now);
-  void resume();  // the successor has ended
+  // Called when the successor has ended: this gateway leases units as before.
+  void resume();
 
  private:
   class AdmissionController;
--- a/include/petrelrail/types.hpp
+++ b/include/petrelrail/types.hpp
@@ -1,4 +1,4 @@
-// Types that every part shares: time and identifiers.
+// Time and identifier types shared by all parts.
 #pragma once
 
 #include <chrono>
@@ -8,8 +8,8 @@
 
 using Duration = std::chrono::nanoseconds;
 
-// The clock that the host passes in. All gateways of a fleet must read the same one (to within the
-// counter's time-out), as the window of a customer's count is derived from it. It must not go
+// The clock passed in by the host. All gateways of a fleet must read the same clock, to within the
+// counter's time-out, as the windows of customers' counts are derived from it. It must not go
 // backwards.
 struct FleetClock {
   using duration = Duration;
@@ -27,6 +27,6 @@
 enum class TimerId : std::uint64_t {};     // below 2^63
 enum class ClassIndex : std::uint32_t {};  // position in Settings::classes
 enum class PlanIndex : std::uint32_t {};   // position in Settings::plans
-enum class ZoneIndex : std::uint32_t {};   // any numbering the host keeps to
+enum class ZoneIndex : std::uint32_t {};   // any numbering that the host keeps stable
 
 }  // namespace petrelrail
--- a/src/common/hash.hpp
+++ b/src/common/hash.hpp
@@ -1,4 +1,5 @@
-// A hash that is the same in every process, for what several nodes have to derive alike.
+// A hash function that gives the same values in every process, for values that several nodes must
+// derive identically.
 #pragma once
 
 #include <cstdint>
--- a/src/common/lookup.hpp
+++ b/src/common/lookup.hpp
@@ -1,17 +1,17 @@
-// Look-ups in tables.
+// Look-up helpers for tables.
 #pragma once
 
 #include <cstddef>
 
 namespace petrelrail {
 
-// The element at an index of a type of its own.
+// Returns the element at an index of an integer or enumeration type.
 template <class Table, class Index>
 auto& at(Table& table, Index index) {
   return table[static_cast<std::size_t>(index)];
 }
 
-// The value under a key, or null.
+// Returns a pointer to the value of a key, or null.
 template <class Table, class Key>
 auto* find_or_null(Table& table, const Key& key) {
   const auto it = table.find(key);
--- a/src/common/time_math.hpp
+++ b/src/common/time_math.hpp
@@ -1,4 +1,4 @@
-// Arithmetic on spans of time.
+// Arithmetic on durations.
 #pragma once
 
 #include <chrono>
--- a/src/node/hot_restart.cpp
+++ b/src/node/hot_restart.cpp
@@ -75,7 +75,7 @@
   for (const auto& plan : s.plans) plans.push_back({plan.name, plan.length.count()});
   json state{{"leases", std::move(leases)},
              {"latencies", s.latencies},
-             {"quickest_calls", s.fastest_calls},
+             {"quickest_calls", s.fastest_call_times},
              {"call_rate", s.call_rate},
              {"bound", s.concurrency_limit},
              {"answers", s.recent_responses},
@@ -106,7 +106,7 @@
     for (const auto& plan : *plans)
       s.plans.push_back({plan.at(0).get<std::string>(), Duration(plan.at(1).get<std::int64_t>())});
   j.at("latencies").get_to(s.latencies);
-  j.at("quickest_calls").get_to(s.fastest_calls);
+  j.at("quickest_calls").get_to(s.fastest_call_times);
   s.call_rate = j.at("call_rate"), s.concurrency_limit = j.at("bound");
   s.recent_responses = j.at("answers"), s.recent_arrivals = j.at("arrivals");
   s.export_time = time_of(j.at("at")), s.counter_reset_time = time_of(j.at("lost_at"));
--- a/src/node/http_session.cpp
+++ b/src/node/http_session.cpp
@@ -358,7 +358,7 @@
   const auto reason = end_reason_.value_or(why);
   server_.session_ends_.add(reason);
   if (unanswered) log_unanswered(reason);
-  if (const auto breach = policy::may_close_session(unanswered, is_decided_here(reason)))
+  if (const auto breach = policy::check_session_close(unanswered, is_decided_here(reason)))
     server_.callbacks_.on_invariant_violation(*breach, request_id_);
   const auto request = std::exchange(request_number_, 0);
   enter(State::closed);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -442,7 +442,7 @@
 bool Node::on_stream_started(const UpstreamExchange& exchange, const ResponseHead& head) {
   const auto it = open_requests_.find(exchange.request);
   if (it == open_requests_.end() || !it->second.response_sink) return false;
-  if (const auto breach = it->second.state.may_respond())
+  if (const auto breach = it->second.state.check_respond())
     return on_invariant_violation(*breach, it->second.request_message->request_id), false;
   it->second.state.on_stream_started();
   it->second.response_sink->begin_stream(head);
@@ -500,7 +500,7 @@
 std::string Node::metrics_text() {
   const auto servers = gateway_.endpoint_counts(timers_.now());
   return metrics_.text(
-      {concurrent_, servers.listed, servers.avoided, http_server_.size(),
+      {concurrent_, servers.listed, servers.excluded, http_server_.size(),
        http_server_.accept_failures(), upstream_.stats(), log::stats(), timers_.now(),
        gossip_ && gossip_->started() ? gossip_.get() : nullptr,
        coordination_ && coordination_->cluster_state().started() ? coordination_.get() : nullptr,
@@ -543,7 +543,7 @@
   counter_->call(name, amount, life, std::move(told));
 }
 
-bool Node::quota_calls_waiting() const { return gateway_.sizes().waiting_calls > 0; }
+bool Node::quota_calls_waiting() const { return gateway_.sizes().queued_counter_calls > 0; }
 
 void Node::send_request(ClientRequest request, std::shared_ptr<ResponseSink> sink) {
   accept_request(std::move(request), std::move(sink));
@@ -576,7 +576,7 @@
   auto& o = it->second;
   const Time now = timers_.now();
   const auto attempt = o.state.attempts();
-  const auto breach = o.state.may_forward(now);
+  const auto breach = o.state.check_forward(now);
   o.state.on_forwarded(now);
   if (breach) {
     on_invariant_violation(*breach, o.request_message->request_id);
@@ -648,7 +648,7 @@
   // One whose client has left may still be refused by a decision that had been made: nobody is
   // told.
   if (const auto sink = it->second.response_sink) {
-    if (const auto breach = it->second.state.may_respond())
+    if (const auto breach = it->second.state.check_respond())
       return on_invariant_violation(*breach, it->second.request_message->request_id);
     it->second.response_sink.reset();
     it->second.state.on_responded();
@@ -688,7 +688,8 @@
   const Time now = timers_.now();
   std::vector<RequestId> overdue;
   for (const auto& [id, o] : open_requests_)
-    if (o.response_sink && !o.request_message->body_stream && o.state.overdue(now, facts::kOverdue))
+    if (o.response_sink && !o.request_message->body_stream &&
+        o.state.is_overdue(now, facts::kOverdue))
       overdue.push_back(id);
   for (const auto id : overdue) {
     on_invariant_violation(policy::InvariantViolation::response_overdue,
--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -10,12 +10,17 @@
 
 namespace {
 
-constexpr double kRetryTokensPerRequest = 0.1;  // keeps retries under a tenth of the requests
-constexpr double kMaxRetryTokens = 10;          // that can be saved up
-// Expected latencies until a slot of a gateway that was replaced is likely free.
+// Limits retries to a tenth of the requests.
+constexpr double kRetryTokensPerRequest = 0.1;
+// Upper bound of the retry tokens that can accumulate.
+constexpr double kMaxRetryTokens = 10;
+// Number of expected latencies after which a predecessor's concurrency slot is presumed free.
 constexpr double kSlotReleaseLatencies = 2;
-constexpr Duration kSweepInterval = 250ms;  // of the housekeeping
-constexpr double kMinBackoffShare = 0.5;    // of a latency objective, and as much more by chance
+// Interval between clean-ups of leases and idle connections.
+constexpr Duration kSweepInterval = 250ms;
+// Minimum back-off as a fraction of the latency objective; up to one objective of random jitter is
+// added.
+constexpr double kMinBackoffShare = 0.5;
 
 Settings validated(Settings settings) {
   validate(settings);
@@ -37,7 +42,7 @@
     context_.actions.emplace_back(Subscribe{});
   leases_.rate_limiter().refill(now);
   std::visit([this](const auto& typed_event) { on(typed_event); }, event);
-  while (auto* lease = leases_.next_in_queue()) settle_waiting(*lease);
+  while (auto* lease = leases_.next_in_queue()) process_waiting(*lease);
   serve_queued();
   arm_timer();
   return std::move(context_.actions);
@@ -67,8 +72,9 @@
   std::map<LeaseId, std::vector<Time>> slot_releases;
   for (const auto& [id, request] : requests_) {
     if (!request.holds_slot) continue;
-    const auto likely = now + from_seconds(kSlotReleaseLatencies * request.expected_latency());
-    slot_releases[request.quota.lease_id()].push_back(std::min(request.deadline, likely));
+    const auto release_time = now +
+                              from_seconds(kSlotReleaseLatencies * request.expected_latency());
+    slot_releases[request.quota.lease_id()].push_back(std::min(request.deadline, release_time));
   }
   leases_.export_state(state, std::move(slot_releases));
   return state;
@@ -91,11 +97,11 @@
 
 void Gateway::AdmissionController::on(const EndpointListUpdate& event) {
   if (event.kind != EndpointListKind::failed) return endpoints_.apply_list(event);
-  subscribed_ = false;  // asked for again with the next event
+  subscribed_ = false;  // the subscription is requested again with the next event
 }
 
 void Gateway::AdmissionController::on(const CounterResponse& event) {
-  if (auto* lease = leases_.on_response(event)) settle_waiting(*lease);
+  if (auto* lease = leases_.on_response(event)) process_waiting(*lease);
 }
 
 void Gateway::AdmissionController::on(const CounterRecovered&) {
@@ -137,17 +143,17 @@
   load_balancer_.on_attempt_ended(*request, event);
   request->on_attempt_ended(attempt, event.outcome, endpoint.info);
   if (event.settled_units > 0 && context_.settings.units_settled_after)
-    leases_.give_back(request->quota, request->quota.units - event.settled_units);
+    leases_.return_units(request->quota, request->quota.units - event.settled_units);
   request->body_consumed = request->body_consumed || event.body_consumed;
   if (event.request_completed) end(*request);
   if (request->stage != RequestStage::ended && request->outstanding_attempts() == 0)
     retry_or_fail(*request);
-  forget_if_done(event.request);
+  erase_if_done(event.request);
 }
 
 void Gateway::AdmissionController::on(const ClientDisconnected& event) {
   if (auto* request = find_or_null(requests_, event.request)) end(*request);
-  forget_if_done(event.request);
+  erase_if_done(event.request);
 }
 
 void Gateway::AdmissionController::on(const TimerDue& event) {
@@ -166,7 +172,7 @@
 
 // ---- Admission
 
-// Takes the request's units and forwards it, lets it wait for a lease, or rejects it.
+// Takes the request's units and forwards it, queues it for a lease, or rejects it.
 void Gateway::AdmissionController::admit(Request& request) {
   const bool metered = leases_.quota(request.quota.plan).metered;
   const bool limited = at(context_.settings.plans, request.quota.plan).max_concurrent > 0;
@@ -177,7 +183,8 @@
   admit_metered(request, lease);
 }
 
-// A slot is taken now: those that wait for a lease are let go together.
+// The slot is taken before the lease, because all requests that wait for a lease are released at
+// once.
 bool Gateway::AdmissionController::take_slot(Request& request, QuotaLease& lease) {
   if (request.holds_slot) return true;
   const auto slots = leases_.concurrency_slots(request.quota, lease, request.expected_latency());
@@ -195,11 +202,11 @@
   if (lease.waiting.empty() && leases_.take(request.quota, lease)) return forward_first(request);
   if (lease.state.current.exhausted)
     return reject(request, leases_.until_next_window(lease), RejectionReason::quota_exhausted);
-  if (!leases_.has_outstanding_call(lease) && settle_without_lease(request, lease)) return;
+  if (!leases_.has_outstanding_call(lease) && decide_without_lease(request, lease)) return;
   wait_for_lease(request, lease);
 }
 
-bool Gateway::AdmissionController::settle_without_lease(Request& request, QuotaLease& lease) {
+bool Gateway::AdmissionController::decide_without_lease(Request& request, QuotaLease& lease) {
   const auto& limiter = leases_.rate_limiter();
   const double priority = leases_.call_priority(request.quota);
   if (limiter.is_down() && !limiter.may_call(1)) {
@@ -218,16 +225,17 @@
 }
 
 void Gateway::AdmissionController::wait_for_lease(Request& request, QuotaLease& lease) {
-  request.quota.settles_plan = leases_.may_admit_before_lease(request.quota, lease);
+  request.quota.settles_unleased_units = leases_.may_admit_before_lease(request.quota, lease);
   request.stage = RequestStage::waiting_for_lease;
   lease.waiting.push_back(&request.quota);
-  timers_.set(request.id(), request.timer, std::max(context_.now, request.queue_deadline()));
-  if (!leases_.has_outstanding_call(lease) && !leases_.request_units(lease)) settle_waiting(lease);
+  timers_.set(request.id(), request.timer_deadline,
+              std::max(context_.now, request.queue_deadline()));
+  if (!leases_.has_outstanding_call(lease) && !leases_.request_units(lease)) process_waiting(lease);
 }
 
-// After an answer: whoever fits passes in order of arrival; the others get one more call or are
-// rejected.
-void Gateway::AdmissionController::settle_waiting(QuotaLease& lease) {
+// Called after a counter response. Forwards waiting requests in order of arrival while units last;
+// makes another counter call for the rest or rejects them.
+void Gateway::AdmissionController::process_waiting(QuotaLease& lease) {
   while (!lease.waiting.empty()) {
     auto& request = requests_.at(lease.waiting.front()->id);
     const bool exhausted = lease.state.current.exhausted;
@@ -246,7 +254,8 @@
   }
 }
 
-// Whether there is no slot for it now, by what its lease has told since it asked.
+// Returns whether no slot is free, by what has been learned from the lease since the request took
+// its slot.
 bool Gateway::AdmissionController::must_wait_for_slot(const Request& request) const {
   const auto limit = at(context_.settings.plans, request.quota.plan).max_concurrent;
   if (!request.holds_slot || limit >= request.quota.gateways) return false;
@@ -258,7 +267,8 @@
 
 // ---- Forwarding
 
-// The first attempt. Units are spent now: those of a window that has rolled since are leased anew.
+// Makes the first attempt. Units are spent at this point: if their window has ended meanwhile, the
+// request is admitted anew in the present window.
 void Gateway::AdmissionController::forward_first(Request& request) {
   if (request.quota.holds_units && !leases_.still_holds_units(request.quota)) return admit(request);
   const auto selection = must_wait_for_slot(request) ? Selection{Selection::Kind::wait, {}}
@@ -270,7 +280,7 @@
     return reject(request, reject_backoff(), RejectionReason::queue_timeout);
   if (request.stage != RequestStage::queued) queue_.push_back(request.id());
   request.stage = RequestStage::queued;
-  timers_.set(request.id(), request.timer, request.queue_deadline());
+  timers_.set(request.id(), request.timer_deadline, request.queue_deadline());
 }
 
 void Gateway::AdmissionController::forward(Request& request, EndpointId endpoint) {
@@ -283,15 +293,15 @@
   const double work = request.expected_latency();
   endpoints_.on_forwarded(endpoints_.get(endpoint), work);
   request.attempts.push_back(Attempt{endpoint, context_.now, work, true});
-  // No time-out before the client's, and no hedged request: on pressed servers both were work done
-  // twice.
-  timers_.set(request.id(), request.timer, Time::max());
+  // No time-out before the client's and no hedged requests: on overloaded servers both duplicated
+  // work.
+  timers_.set(request.id(), request.timer_deadline, Time::max());
   const auto timeout = std::max(request.deadline - context_.now, Duration(1));
   context_.actions.emplace_back(Send{request.id(), endpoint, timeout, request.retry_deadline()});
 }
 
-// No attempt is out and the client waits: another one where the class allows it, or the final
-// answer.
+// Called when no attempt is in flight and the client still waits: retries where the class allows
+// it, otherwise gives the final answer.
 void Gateway::AdmissionController::retry_or_fail(Request& request) {
   if (retry_tokens_ >= 1 && request.may_retry(context_.now)) {
     const auto selection = load_balancer_.select(request);
@@ -304,9 +314,9 @@
   end(request);
 }
 
-// Requests that wait for a place go first come, first served.
+// Forwards queued requests in first-in, first-out order as capacity becomes free.
 void Gateway::AdmissionController::serve_queued() {
-  for (std::size_t left = queue_.size(); left > 0; --left) {
+  for (std::size_t remaining = queue_.size(); remaining > 0; --remaining) {
     const auto id = queue_.front();
     queue_.pop_front();
     auto* request = find_or_null(requests_, id);
@@ -324,10 +334,10 @@
   }
 }
 
-// ---- The end of a request
+// ---- End of a request
 
-// Advice after a rejection that is not about quota: about one latency objective, so that clients do
-// not come in step.
+// Returns the retry advice for a rejection not caused by quota: about one latency objective,
+// randomised so that clients do not retry in step.
 Duration Gateway::AdmissionController::reject_backoff() {
   const auto objective = context_.settings.classes.front().latency_objective;
   return scaled(objective, kMinBackoffShare + context_.random());
@@ -337,24 +347,24 @@
                                           RejectionReason reason) {
   context_.actions.emplace_back(Reject{request.id(), retry_after, reason});
   end(request);
-  forget_if_done(request.id());
+  erase_if_done(request.id());
 }
 
 void Gateway::AdmissionController::end(Request& request) {
   if (request.stage == RequestStage::ended) return;
-  // It was never forwarded.
+  // Units still held were not spent, as the request was never forwarded.
   if (std::exchange(request.quota.holds_units, false))
-    leases_.give_back(request.quota, request.quota.units);
-  timers_.set(request.id(), request.timer, Time::max());
+    leases_.return_units(request.quota, request.quota.units);
+  timers_.set(request.id(), request.timer_deadline, Time::max());
   auto* lease = leases_.find(request.quota.lease_id());
   if (lease && request.stage == RequestStage::waiting_for_lease)
     std::erase(lease->waiting, &request.quota);
   request.stage = RequestStage::ended;
 }
 
-// A slot is free again when nothing is out any more: a client that has gone leaves its attempt
-// behind.
-void Gateway::AdmissionController::forget_if_done(RequestId id) {
+// Erases an ended request and frees its slot once no attempt is in flight: a disconnected client
+// can leave an attempt behind.
+void Gateway::AdmissionController::erase_if_done(RequestId id) {
   const auto* request = find_or_null(requests_, id);
   if (!request || request->stage != RequestStage::ended || request->outstanding_attempts() > 0)
     return;
@@ -364,8 +374,8 @@
 }
 
 void Gateway::AdmissionController::arm_timer() {
-  const bool sweeps = !leases_.empty() || !endpoints_.empty();
-  auto next = sweeps ? std::max(next_sweep_, context_.now + Duration(1)) : Time::max();
+  const bool needs_sweep = !leases_.empty() || !endpoints_.empty();
+  auto next = needs_sweep ? std::max(next_sweep_, context_.now + Duration(1)) : Time::max();
   const auto& limiter = leases_.rate_limiter();
   if (const auto priority = limiter.highest_priority())
     next = std::min(next, context_.now + limiter.time_until_call(*priority) + Duration(1));
--- a/src/policy/admission_controller.hpp
+++ b/src/policy/admission_controller.hpp
@@ -1,8 +1,8 @@
-// Every decision of petrelrail. The interface is include/petrelrail/gateway.hpp.
+// Implements the decisions behind the interface in include/petrelrail/gateway.hpp.
 //
-// Joins the parts of this folder, each of which a test drives alone: quota leases, requests, the
-// endpoint table and the load balancer. Time comes with each event, random numbers from the seed
-// alone. Where order reaches an action, containers are ordered; hash tables are for look-up only.
+// Combines quota leases, request state, the endpoint table and the load balancer, each of which is
+// tested on its own. Time comes with each event and random numbers come from the seed alone.
+// Containers whose order can reach an action are ordered; hash tables are used for look-up only.
 #pragma once
 
 #include <deque>
@@ -23,7 +23,7 @@
   std::vector<Action> handle(Time now, const Event& event);
   TableSizes sizes() const;
   EndpointCounts endpoint_counts(Time now) const { return endpoints_.counts(now); }
-  // Nothing while a client waits for anything, or the counter is short of calls.
+  // Returns 0 while any request is queued or the counter call rate has no spare tokens.
   std::uint32_t best_effort_capacity(Time now);
   HandoverState export_state(Time now);
   void resume() { leases_.resume(); }
@@ -36,7 +36,7 @@
 
   // ---- Events
   void on(const TimeAdvanced&) {}
-  void on(const HealthCheckEnded&) {}  // none is asked for
+  void on(const HealthCheckEnded&) {}  // no health checks are sent
   void on(const EndpointListUpdate& event);
   void on(const OperatorEjection& event) { endpoints_.apply_operator_ejection(event); }
   void on(const RequestArrived& event);
@@ -49,15 +49,17 @@
   void on(const SettingsChanged& event);
   void on(const RestoreState& event);
 
-  // ---- Admission: units of the customer's quota, and its concurrency slots
+  // ---- Admission: quota units and concurrency slots
   void admit(Request& request);
-  // Takes a slot of the plan's concurrency limit; false: none is free, and it was rejected.
+  // Takes a slot of the plan's concurrency limit. Returns false, with the request rejected, if no
+  // slot is free.
   bool take_slot(Request& request, QuotaLease& lease);
   void admit_metered(Request& request, QuotaLease& lease);
-  // Rejects what can't be leased in time, or admits it before its lease; false: it may wait.
-  bool settle_without_lease(Request& request, QuotaLease& lease);
+  // Rejects a request for which no units can be leased in time, or admits it before its lease.
+  // Returns false if the request may wait for a lease.
+  bool decide_without_lease(Request& request, QuotaLease& lease);
   void wait_for_lease(Request& request, QuotaLease& lease);
-  void settle_waiting(QuotaLease& lease);
+  void process_waiting(QuotaLease& lease);
   bool must_wait_for_slot(const Request& request) const;
 
   // ---- Forwarding
@@ -66,22 +68,22 @@
   void retry_or_fail(Request& request);
   void serve_queued();
 
-  // ---- The end of a request
+  // ---- End of a request
   Duration reject_backoff();
   void reject(Request& request, Duration retry_after, RejectionReason reason);
   void end(Request& request);
-  void forget_if_done(RequestId id);
+  void erase_if_done(RequestId id);
 
   void arm_timer();
 
   DecisionContext context_;
-  std::shared_ptr<const ClassSnapshot> classes_;  // for requests that begin now
+  std::shared_ptr<const ClassSnapshot> classes_;  // for new requests
   policy::QuotaLeaseTable leases_{context_};
   policy::EndpointTable endpoints_{context_};
   policy::LoadBalancer load_balancer_{context_, endpoints_};
   policy::RequestTimers timers_{context_};
   std::unordered_map<RequestId, Request> requests_;
-  std::deque<RequestId> queue_;  // of requests that wait for a place at a server
+  std::deque<RequestId> queue_;  // requests that wait for capacity at the price servers
   double retry_tokens_;
   bool subscribed_ = false;
   Time next_sweep_{};
--- a/src/policy/class_snapshot.hpp
+++ b/src/policy/class_snapshot.hpp
@@ -1,4 +1,4 @@
-// The classes of requests as one version of the settings has them, with what was learned of each.
+// The request classes of one settings version, with the statistics learned per class.
 #pragma once
 
 #include <memory>
@@ -10,24 +10,24 @@
 
 namespace petrelrail {
 
-// What was learned of a class of requests, under its name.
+// Statistics of a request class, kept under the class's name across settings changes.
 struct ClassStatistics {
-  double average_latency = 0;    // EWMA of good answers, seconds; 0: none yet
-  Duration longest_time_left{};  // the longest time that a first try has had
+  double average_latency = 0;    // EWMA over successful answers, in seconds; 0: none yet
+  Duration longest_time_left{};  // longest time_left of a first client attempt
 };
 
-// Shared by the requests that begin under one version of the settings. What belongs to a class that
-// a later version drops ends with the last of them.
+// Shared by the requests that begin under one settings version. The statistics of a class that a
+// later version drops are freed with the last of these requests.
 struct ClassSnapshot {
   std::vector<RequestClass> classes;
-  std::vector<std::shared_ptr<ClassStatistics>> statistics;  // one for each class
+  std::vector<std::shared_ptr<ClassStatistics>> statistics;  // indexed as `classes`
   std::uint32_t max_attempts = 1;
-  double max_weight = 0;  // of a request, by class and units
+  double max_weight = 0;  // of a request: priority weight times maximum units
 
-  // `previous`, if not null, has the statistics of classes that keep their name.
+  // Takes over the statistics of classes that have the same name in `previous`, which may be null.
   ClassSnapshot(const Settings& settings, const ClassSnapshot* previous);
 
-  // Null: there is no such class.
+  // Returns null if there is no such class.
   std::shared_ptr<ClassStatistics> find_statistics(const std::string& name) const;
   void export_state(HandoverState& state) const;
   void restore(const HandoverState& state) const;
--- a/src/policy/connection_limits.hpp
+++ b/src/policy/connection_limits.hpp
@@ -1,5 +1,5 @@
-// Servers that hold no more connections, and idle connections that are let go while they are
-// scarce.
+// Learns how many connections a price server accepts, and releases idle connections while
+// connections are scarce.
 #pragma once
 
 #include <vector>
@@ -9,26 +9,28 @@
 
 namespace petrelrail::policy {
 
-// A connect that fails while the server answers on others says that it holds no more. All gateways
-// share that limit: this one keeps to what it has, may have one more after a while, and for a time
-// lets go everywhere what it does not need.
+// A failed connect to a server that still answers on other connections shows that the server has
+// reached its connection limit. All gateways share that limit: this gateway keeps to its present
+// number of connections, raises it by one after a hold time, and for a while releases the idle
+// connections that it does not need at all servers.
 class ConnectionLimits {
  public:
   explicit ConnectionLimits(DecisionContext& context) : context_(context) {}
 
   ConnectionCounts connections(EndpointId endpoint) const;
-  // No connection idles there, and it holds no more.
+  // Returns whether the server has no idle connection and accepts no new one.
   bool is_exhausted(const Endpoint& endpoint, const ConnectionCounts& counts) const;
-  // After a connect that failed. False: that does not show a limit.
+  // Called after a failed connect. Returns false if the failure does not show a connection limit.
   bool record_failed_connect(Endpoint& endpoint);
   void on_forwarded(double in_flight);
-  // Idle connections beyond the most attempts of late are let go while they are scarce.
+  // Releases idle connections beyond the recent peak of concurrent attempts while connections are
+  // scarce.
   void release_spare(const std::vector<Endpoint*>& preference_order, double in_flight);
 
  private:
   DecisionContext& context_;
-  double needed_ = 0;    // most attempts at once, of late
-  Time scarce_until_{};  // connections at servers are
+  double peak_in_flight_ = 0;  // recent peak of concurrent attempts, decaying
+  Time scarcity_deadline_{};   // until then idle connections are released
 };
 
 }  // namespace petrelrail::policy
--- a/src/policy/count_names.cpp
+++ b/src/policy/counter_keys.cpp
@@ -1,4 +1,4 @@
-#include "policy/count_names.hpp"
+#include "policy/counter_keys.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -10,14 +10,14 @@
 namespace petrelrail::policy {
 namespace {
 
-// Windows of two plans may have the same number while counts of them are kept if their lengths
-// differ by less than this part: numbers are time over length, and times are since 1970.
-constexpr int kAlikeLengthParts = 16;
+// Two plans can have the same window number while their counts are kept if their window lengths
+// differ by less than this fraction: a window number is the time since 1970 divided by the length.
+constexpr int kSimilarLengthDivisor = 16;
 
-bool have_alike_lengths(const WindowedQuota& one, const WindowedQuota& other) {
+bool have_similar_lengths(const WindowedQuota& one, const WindowedQuota& other) {
   if (!one.metered || !other.metered) return false;
   const auto difference = std::chrono::abs(one.window - other.window);
-  return difference * kAlikeLengthParts < std::max(one.window, other.window);
+  return difference * kSimilarLengthDivisor < std::max(one.window, other.window);
 }
 
 std::uint64_t hash_of(const std::string& name) {
@@ -28,15 +28,15 @@
 
 }  // namespace
 
-CountNames::CountNames(const std::vector<Plan>& plans, const std::vector<WindowedQuota>& quotas)
+CounterKeys::CounterKeys(const std::vector<Plan>& plans, const std::vector<WindowedQuota>& quotas)
     : salts_(plans.size(), 0) {
   for (std::size_t i = 0; i < plans.size(); ++i)
     for (std::size_t other = 0; other < plans.size(); ++other)
-      if (other != i && have_alike_lengths(quotas[i], quotas[other]))
+      if (other != i && have_similar_lengths(quotas[i], quotas[other]))
         salts_[i] = hash_of(plans[i].name);
 }
 
-CounterKey CountNames::key(LeaseId lease, std::int64_t window) const {
+CounterKey CounterKeys::key(LeaseId lease, std::int64_t window) const {
   const auto hashed_customer = mix_hash(static_cast<std::uint64_t>(lease.customer));
   const auto hashed_lease = hashed_customer ^ at(salts_, lease.plan);
   return CounterKey(mix_hash(hashed_lease ^ static_cast<std::uint64_t>(window)) >> 1U);
--- a/src/policy/counter_rate_limiter.cpp
+++ b/src/policy/counter_rate_limiter.cpp
@@ -6,31 +6,32 @@
 namespace petrelrail::policy {
 namespace {
 
-// Part of the counter's time-out that a call takes, before any was seen.
-constexpr double kFirstCallShare = 0.05;
-// Answers that must have been as quick for a time to count as the usual.
+// Assumed response time before any was observed, as a fraction of the counter's time-out.
+constexpr double kInitialCallShare = 0.05;
+// Number of fastest response times kept; the slowest of them is taken as the response time without
+// a queue.
 constexpr std::size_t kFastResponses = 3;
-// Part of the counter's time-out past which an answer shows a queue there.
+// Fraction of the counter's time-out beyond which a response time shows a queue at the counter.
 constexpr double kSlowResponseShare = 0.3;
-// Of the fair rate, added for each quick answer while calls are held back.
+// Rate increase per fast response while calls are held back, as a fraction of the fair rate.
 constexpr double kRateIncrease = 0.2;
-// Calls a time-out, added instead until a queue was seen: e-fold in 20.
+// Rate increase per fast response until a queue is observed, in calls per time-out: e-fold in 20
+// responses.
 constexpr double kSlowStartIncrease = 0.05;
-// Part of the rate taken off for a call that failed; less for a slow one.
+// Fraction by which the rate falls after a failed call; a slow call lowers it by less.
 constexpr double kRateDecrease = 0.3;
-constexpr double kMinBurst = 3;         // tokens that can be saved up at least
-constexpr Duration kBurstSpan = 100ms;  // and the span over which more are
-constexpr int
-    kFailuresUntilDown = 3;  // failed calls in a row before the counter is held to be down
-constexpr double kMinResponseTime = 1e-5;  // seconds
-constexpr double kMinCycle = 1e-9;         // seconds, so that no rate is without end
+constexpr double kMinBurst = 3;            // lower bound of the burst, in tokens
+constexpr Duration kBurstSpan = 100ms;     // the burst is the rate over this span, if larger
+constexpr int kFailuresUntilDown = 3;      // consecutive
+constexpr double kMinResponseTime = 1e-5;  // in seconds
+constexpr double kMinCycle = 1e-9;         // in seconds, bounds the fair rate
 
 }  // namespace
 
 CounterRateLimiter::CounterRateLimiter(Duration timeout, double gateways)
     : timeout_(std::max(timeout, Duration(1))),
       gateways_(gateways),
-      fastest_response_(seconds(timeout_) * kFirstCallShare) {
+      fastest_response_(seconds(timeout_) * kInitialCallShare) {
   rate_ = fair_rate();
   tokens_ = std::min(burst(), 1 + rate_ * seconds(timeout_));
 }
@@ -63,16 +64,16 @@
 }
 
 bool CounterRateLimiter::is_congested(double priority) const {
-  return queueing_time(priority) > scaled(timeout_, kRetryTimeouts);
+  return queueing_time(priority) > scaled(timeout_, kProbeIntervalTimeouts);
 }
 
 void CounterRateLimiter::refill(Time now) {
-  const auto since = std::exchange(refilled_, now);
+  const auto since = std::exchange(last_refill_time_, now);
   if (since != Time{}) tokens_ = std::min(burst(), tokens_ + rate_ * seconds(now - since));
 }
 
-void CounterRateLimiter::record_fast_response(double took) {
-  fastest_responses_.insert(std::max(took, kMinResponseTime));
+void CounterRateLimiter::record_fast_response(double response_time) {
+  fastest_responses_.insert(std::max(response_time, kMinResponseTime));
   if (fastest_responses_.size() > kFastResponses)
     fastest_responses_.erase(std::prev(fastest_responses_.end()));
   if (fastest_responses_.size() == kFastResponses) fastest_response_ = *fastest_responses_.rbegin();
@@ -95,12 +96,12 @@
     ++consecutive_failures_;
   }
   if (consecutive_failures_ == kFailuresUntilDown) down_since_ = now;
-  // Where a call takes long by itself, only what one took beyond the quickest shows a queue.
-  const bool slow_by_nature = fastest_response_ > seconds(timeout_) ||
-                              slow_responses_at_floor_ == kSlowResponsesAtFloor;
-  const double own_time = slow_by_nature ? fastest_response_ : 0;
-  const double share = ok ? std::max(0.0, seconds(duration) - own_time) / seconds(timeout_) : 1.0;
-  if (ok && !slow_by_nature) {
+  // If calls are inherently slow, only the time beyond the fastest response shows a queue.
+  const bool is_inherently_slow = fastest_response_ > seconds(timeout_) ||
+                                  slow_responses_at_floor_ == kSlowResponsesAtFloor;
+  const double base_time = is_inherently_slow ? fastest_response_ : 0;
+  const double share = ok ? std::max(0.0, seconds(duration) - base_time) / seconds(timeout_) : 1.0;
+  if (ok && !is_inherently_slow) {
     const bool fast = share < kSlowResponseShare || rate_ > kMinRateShare * fair_rate();
     slow_responses_at_floor_ = fast ? 0 : slow_responses_at_floor_ + 1;
     if (slow_responses_at_floor_ == kSlowResponsesAtFloor)
@@ -110,18 +111,19 @@
     const double slow_start = rate_ < slow_start_threshold_ ? kSlowStartIncrease / seconds(timeout_)
                                                             : 0;
     if (!has_spare_tokens()) rate_ += std::max(slow_start, kRateIncrease * fair_rate());
-  } else if (now - duration >= last_decrease_) {  // one for all calls made before the last one
+  } else if (now - duration >= last_decrease_time_) {
+    // Only one decrease for all calls made before the last one.
     const double excess = (share - kSlowResponseShare) / (1 - kSlowResponseShare);
     rate_ *= 1 - kRateDecrease * std::min(1.0, excess);
     slow_start_threshold_ = rate_;
-    last_decrease_ = now;
+    last_decrease_time_ = now;
   }
   rate_ = std::max(rate_, kMinRateShare * fair_rate());
-  if (is_down()) limit_to_trials();
+  if (is_down()) limit_to_probe_rate();
 }
 
-void CounterRateLimiter::limit_to_trials() {
-  rate_ = std::min(fair_rate(), 1 / (kRetryTimeouts * seconds(timeout_)));
+void CounterRateLimiter::limit_to_probe_rate() {
+  rate_ = std::min(fair_rate(), 1 / (kProbeIntervalTimeouts * seconds(timeout_)));
   tokens_ = std::min(tokens_, 0.0);
 }
 
@@ -144,7 +146,7 @@
 
 void CounterRateLimiter::restore(double rate, const std::vector<double>& fastest_responses) {
   rate_ = std::max(rate, kMinRateShare * fair_rate());
-  for (const auto took : fastest_responses) record_fast_response(took);
+  for (const auto response_time : fastest_responses) record_fast_response(response_time);
 }
 
 }  // namespace petrelrail::policy
--- a/src/policy/decaying_counter.hpp
+++ b/src/policy/decaying_counter.hpp
@@ -1,4 +1,4 @@
-// A count of events that forgets.
+// Exponentially decaying event counter.
 #pragma once
 
 #include <cmath>
@@ -7,15 +7,15 @@
 
 namespace petrelrail {
 
-// Each event weighs e^-1 after a span.
+// An event's weight decays to e^-1 after `span`.
 struct DecayingCounter {
   double value = 0;
-  Time updated{};  // when `value` was right
+  Time updated{};  // the time as of which `value` holds
 
   double count(Time now, Duration span) const {
     return value * std::exp(-seconds(now - updated) / seconds(span));
   }
-  // Events a second.
+  // Returns events per second.
   double rate(Time now, Duration span) const { return count(now, span) / seconds(span); }
   void add(Time now, Duration span, double events = 1) {
     value = count(now, span) + events;
--- a/src/policy/decision_context.hpp
+++ b/src/policy/decision_context.hpp
@@ -1,4 +1,4 @@
-// What the parts of the decision module share while one event is handled. Nothing here decides.
+// State shared by the parts of the decision module while an event is handled. Makes no decisions.
 #pragma once
 
 #include <random>
@@ -12,12 +12,12 @@
 
 struct DecisionContext {
   Settings settings;
-  const ConnectionView* connection_view = nullptr;  // null: connections are not known
+  const ConnectionView* connection_view = nullptr;  // null: connections are unknown
   std::mt19937_64 random_engine{};
   Time now{};
-  std::vector<Action> actions{};  // decided while this event is handled
+  std::vector<Action> actions{};  // result of the event being handled
 
-  // Uniform, from 0 to below 1.
+  // Uniformly distributed in [0, 1).
   double random() { return static_cast<double>(random_engine() >> 11U) * 0x1.0p-53; }
   void log(std::string text) { actions.emplace_back(Log{std::move(text)}); }
 };
--- a/src/policy/ejection.hpp
+++ b/src/policy/ejection.hpp
@@ -1,4 +1,4 @@
-// For how long a server or a zone is taken out of the choice.
+// Ejection times of servers and zones.
 #pragma once
 
 #include <algorithm>
@@ -8,11 +8,11 @@
 
 namespace petrelrail::policy {
 
-constexpr Duration kFirstEjection = std::chrono::milliseconds(
-    400);  // doubles while it goes on failing
-constexpr Duration kMaxEjection = std::chrono::seconds(
-    5);                                   // longer would waste a server that came back
-constexpr double kEjectionJitter = 0.25;  // part by which an ejection may vary
+// Doubles with each further ejection until the server or zone answers.
+constexpr Duration kFirstEjection = std::chrono::milliseconds(400);
+// A longer ejection would waste the capacity of a recovered server.
+constexpr Duration kMaxEjection = std::chrono::seconds(5);
+constexpr double kEjectionJitter = 0.25;  // fraction by which an ejection time may vary
 
 inline Duration next_ejection(Duration last) {
   return std::clamp(last * 2, kFirstEjection, kMaxEjection);
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -1,4 +1,4 @@
-// A server in the endpoint list, with what is known of its health and load.
+// An entry of the endpoint list, with its learned health and load.
 #pragma once
 
 #include <cstdint>
@@ -9,39 +9,39 @@
 
 namespace petrelrail::policy {
 
-// Why a server gets less than its share for a while: it began anew.
+// Slow start after a restart of the server.
 struct SlowStartState {
-  Time began = Time::min();
-  double tokens = 0;  // attempts that it may take, as of `refilled`
-  Time refilled{};
+  Time start_time = Time::min();
+  double tokens = 0;  // attempts that the server may take, as of `last_refill_time`
+  Time last_refill_time{};
 };
 
-// What speaks against a server, and for how long it is taken out.
+// Health of a server as observed by this gateway, and its ejection.
 struct OutlierState {
-  DecayingCounter failures, outcomes;  // of late
-  DecayingCounter score;               // evidence that it is worse than the others
-  Time ejected_until = Time::min();
-  Time first_ejected{};  // for the log only
-  Duration ejection{};   // the last one; none: it has answered since
-  bool dead = false;     // a connect failed since the last good answer
+  DecayingCounter failures, outcomes;  // recent
+  DecayingCounter score;               // evidence that the server fails more than others (CUSUM)
+  Time ejection_end_time = Time::min();
+  Time ejection_start_time{};    // used only to limit log lines
+  Duration ejection_duration{};  // of the last ejection; 0: the server has answered since
+  bool is_unreachable = false;   // a connect has failed since the last successful answer
 };
 
-// How many connections a server holds, found by one more that failed.
+// Connection limit of a server, learned from a failed connect beyond it.
 struct ConnectionLimitState {
-  std::uint32_t max_connections = 0;  // 0: no limit was met
-  Time met{};
-  Duration holds_for{};
+  std::uint32_t max_connections = 0;  // 0: no limit is known
+  Time reached_time{};
+  Duration hold_duration{};
 };
 
 struct Endpoint {
   EndpointInfo info;
   bool listed = false;
   std::uint32_t in_flight = 0;
-  double load = 0;  // expected seconds of work that own attempts keep there
-  // EWMA of latency over what its class takes on average, as of `slowness_updated`.
+  double load = 0;  // expected seconds of work of this gateway's attempts in flight
+  // EWMA of latency divided by the class's average latency, as of `slowness_updated`.
   double slowness = 1;
   Time slowness_updated{};
-  Time last_response = Time::min();  // whatever the answer
+  Time last_response = Time::min();  // regardless of its outcome
   SlowStartState slow_start;
   OutlierState outlier;
   ConnectionLimitState connection_limit;
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -1,4 +1,4 @@
-// The servers in the endpoint list, and which of them this gateway may use.
+// The price servers of the endpoint list, and which of them this gateway may use.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
 
 namespace petrelrail::policy {
 
-// Invariants: a server's load is the sum of what attempts without outcome added; one that is not
+// Invariants: a server's load is the sum of what its attempts in flight added; a server that is not
 // listed as ready is never usable.
 class EndpointTable {
  public:
@@ -25,43 +25,46 @@
         zones_(context),
         connection_limits_(context) {}
 
-  // ---- What is told of servers
+  // ---- Changes of the list
   void apply_list(const EndpointListUpdate& update);
-  // Ejection by operators is kept by id, apart from the list and from health, so that neither
-  // clears it. A server that is put back has been restarted meanwhile: it is in slow start, at a
-  // few gateways with an attempt saved up to try it soon.
+  // Operator ejections are kept by id, apart from the list and from health, so that neither clears
+  // them. A server that is put back is taken as restarted: it enters slow start, and a few gateways
+  // get a token to probe it soon.
   void apply_operator_ejection(const OperatorEjection& event);
   void on_request_arrived();
 
   std::size_t size() const { return endpoints_.size(); }
   bool empty() const { return endpoints_.empty(); }
-  Endpoint& get(EndpointId id) { return endpoints_.at(id); }  // that is in the table
-  // All of them, as this gateway prefers them.
+  Endpoint& get(EndpointId id) { return endpoints_.at(id); }  // must be in the table
+  // All servers, in this gateway's order of preference.
   const std::vector<Endpoint*>& preference_order() const { return preference_order_; }
-  double in_flight() const { return in_flight_; }  // own attempts at all servers
+  double in_flight() const { return in_flight_; }  // this gateway's attempts at all servers
   EndpointCounts counts(Time now) const;
 
-  // ---- What the load balancer asks
+  // ---- Queries of the load balancer
   bool is_usable(const Endpoint& endpoint) const;
   bool is_ejected(const Endpoint& endpoint) const { return is_ejected(endpoint, context_.now); }
-  // What was ejected is tried by one request at a time, which can go elsewhere if it fails.
+  // Returns whether the request may go to a server that was ejected: only one request at a time,
+  // and only one that can be retried elsewhere.
   bool may_probe_ejected(const Request& request, const Endpoint& endpoint) const;
   bool in_slow_start(const Endpoint& endpoint) const { return slow_start_.is_active(endpoint); }
-  // What a server can do against a warm one, 0 to 1.
+  // Capacity of a server relative to a warm one, from 0 to 1.
   double slow_start_factor(const Endpoint& endpoint) const { return slow_start_.factor(endpoint); }
-  // Earns a server in slow start its share of what this gateway is answered for each server's worth
-  // of capacity (with no warm server: of what comes in for each of those considered).
+  // Credits a server in slow start with its share of this gateway's answer rate per server's worth
+  // of `capacity`. With no warm server, the arrival rate divided by the servers considered is used
+  // instead.
   void earn_slow_start_tokens(Endpoint& endpoint, bool any_warm, double capacity,
                               std::size_t considered);
   double slowness(const Endpoint& endpoint) const;
   double outlier_score(const Endpoint& endpoint) const { return outliers_.score(endpoint); }
   const ConnectionLimits& connection_limits() const { return connection_limits_; }
-  // How many warm servers' worth this gateway shares its requests among, so that each server still
-  // has a few gateways whose requests even out. Guards against what adds up over a large fleet:
-  // handshakes to every server, and so few requests to each that what was learned is out of date.
+  // Number of warm servers' worth of capacity among which this gateway spreads its requests. Each
+  // server keeps enough gateways that their random choices even out. A subset avoids two costs of a
+  // large fleet: handshakes to every server, and so few requests per server that the learned
+  // statistics are out of date.
   double subset_size() const;
 
-  // ---- What attempts tell
+  // ---- Attempts
   void on_forwarded(Endpoint& endpoint, double work);
   void on_attempt_ended(Endpoint& endpoint, const Request& request, const Attempt& attempt,
                         const AttemptEnded& event);
@@ -86,7 +89,7 @@
   std::map<EndpointId, Endpoint> endpoints_;
   std::vector<Endpoint*> preference_order_;
   std::set<EndpointId> operator_ejected_;
-  DecayingCounter responses_, arrivals_;  // good answers of all servers; requests
+  DecayingCounter responses_, arrivals_;  // successful answers of all servers; requests
   double in_flight_ = 0;
 };
 
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -1,4 +1,4 @@
-// The public face of the module; everything is decided in src/policy/.
+// Implements the public class Gateway by forwarding to AdmissionController.
 #include "petrelrail/gateway.hpp"
 
 #include "policy/admission_controller.hpp"
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -7,29 +7,34 @@
 namespace petrelrail::policy {
 namespace {
 
-// In flight per server, fleet-wide, before anything is learned.
-constexpr double kFirstInFlight = 5;
-// Own requests in flight: fewer would never show that servers recovered.
+// Initial estimate of requests in flight per server, over the whole fleet.
+constexpr double kInitialInFlight = 5;
+// Lower bound of the concurrency limit; a lower limit would never show that servers recovered.
 constexpr double kMinLimit = 0.1;
-// An answer past this part of its objective says that the servers hold too many.
-constexpr double kLateShare = 0.6;
-// Part of the limit taken off for each such answer: halved in about 7.
+// An answer slower than this fraction of its latency objective shows that the servers are
+// overloaded.
+constexpr double kLateObjectiveShare = 0.6;
+// Fraction by which the limit falls for each such answer: halved in about 7.
 constexpr double kLimitDecrease = 0.1;
-// Requests added for each answer in good time at a used limit.
+// Requests by which the limit rises for each timely answer while the limit is used.
 constexpr double kLimitIncrease = 0.15;
-constexpr double kUsedShare = 0.8;  // of the limit, from which it counts as used
-// Of the limit, up to which best-effort requests are forwarded.
+// Fraction of the limit from which it counts as used.
+constexpr double kUsedShare = 0.8;
+// Fraction of the limit up to which best-effort requests are forwarded.
 constexpr double kBestEffortShare = 0.5;
-// Of the outlier score, as a power of e, by which a server is dearer.
+// Weight of the outlier score in the exponent of a server's cost.
 constexpr double kOutlierCost = 0.1;
-// Part of the servers considered that verdicts must leave; else they are passed over.
+// Panic mode: if ejections leave less than this fraction of the considered servers, they are
+// ignored.
 constexpr double kPanicThreshold = 0.5;
-// How strongly the prices of what an attempt needs weigh in the choice.
+// Weight of the prices of an attempt (cross-zone traffic, handshake) in its cost.
 constexpr double kPriceWeight = 20;
-// A handshake weighs no more than so much of a server's load.
+// Upper bound of the cost factor of a handshake.
 constexpr double kMaxHandshakeCost = 1.5;
-constexpr double kTriedBeforeCost = 4;  // somewhere else, if there is such a place
-constexpr double kCostJitter = 0.05;    // so that equal servers are not always taken in one order
+// Cost factor of a server that the request was already forwarded to: another one is preferred.
+constexpr double kRepeatedEndpointCost = 4;
+// Jitter, so that equal servers are not always selected in the same order.
+constexpr double kCostJitter = 0.05;
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
 
 }  // namespace
@@ -37,18 +42,18 @@
 void LoadBalancer::on_attempt_ended(const Request& request, const AttemptEnded& event) {
   if (event.outcome != AttemptOutcome::ok && event.outcome != AttemptOutcome::timeout) return;
   const double objective = seconds(request.request_class().latency_objective);
-  if (seconds(event.duration) > kLateShare * objective) {
+  if (seconds(event.duration) > kLateObjectiveShare * objective) {
     concurrency_limit_ = std::max(kMinLimit, concurrency_limit_ * (1 - kLimitDecrease));
   } else if (event.outcome == AttemptOutcome::ok &&
              endpoints_.in_flight() + 1 >= concurrency_limit_ * kUsedShare) {
-    concurrency_limit_ += kLimitIncrease * std::min(1.0, concurrency_limit_ / kFirstInFlight);
+    concurrency_limit_ += kLimitIncrease * std::min(1.0, concurrency_limit_ / kInitialInFlight);
   }
 }
 
 std::uint32_t LoadBalancer::best_effort_capacity() {
   initialise_limit();
-  const double left = kBestEffortShare * concurrency_limit_ - endpoints_.in_flight();
-  return static_cast<std::uint32_t>(std::max(0.0, left));
+  const double remaining = kBestEffortShare * concurrency_limit_ - endpoints_.in_flight();
+  return static_cast<std::uint32_t>(std::max(0.0, remaining));
 }
 
 Selection LoadBalancer::select(const Request& request) {
@@ -72,48 +77,49 @@
 }
 
 LoadBalancer::Candidates LoadBalancer::find_candidates(const Request& request) const {
-  Candidates found;
-  const double enough = endpoints_.subset_size();
+  Candidates candidates;
+  const double target_capacity = endpoints_.subset_size();
   for (const auto* endpoint : endpoints_.preference_order()) {
-    ++found.considered;
+    ++candidates.considered;
     if (!endpoints_.is_usable(*endpoint)) continue;
     const bool warm = !endpoints_.in_slow_start(*endpoint);
     const double capacity = warm ? 1 : endpoints_.slow_start_factor(*endpoint);
-    found.usable_capacity += capacity;
+    candidates.usable_capacity += capacity;
     if (endpoints_.is_ejected(*endpoint) || !endpoints_.may_probe_ejected(request, *endpoint))
       continue;
-    found.any_sound = found.any_sound || request.may_go_to(endpoint->info);
-    found.any_warm = found.any_warm || warm;
-    found.sound_capacity += capacity;
-    if (found.any_sound && found.sound_capacity >= enough) break;
+    candidates.any_healthy = candidates.any_healthy || request.may_go_to(endpoint->info);
+    candidates.any_warm = candidates.any_warm || warm;
+    candidates.healthy_capacity += capacity;
+    if (candidates.any_healthy && candidates.healthy_capacity >= target_capacity) break;
   }
-  return found;
+  return candidates;
 }
 
 bool LoadBalancer::is_selectable(const Request& request, Endpoint& endpoint,
                                  const Candidates& candidates,
                                  const ConnectionCounts& connections) {
-  // When all look bad they are used rather than none; when too many do, the dead alone are left
-  // out.
-  const bool panic = candidates.sound_capacity < kPanicThreshold * candidates.usable_capacity;
-  const bool verdict_counts = candidates.any_sound && !(panic && !endpoint.outlier.dead);
-  if (verdict_counts &&
+  // If all servers look unhealthy, ejections are ignored; if too many do, only unreachable servers
+  // are left out.
+  const bool panic = candidates.healthy_capacity < kPanicThreshold * candidates.usable_capacity;
+  const bool ejection_applies = candidates.any_healthy &&
+                                !(panic && !endpoint.outlier.is_unreachable);
+  if (ejection_applies &&
       (endpoints_.is_ejected(endpoint) || !endpoints_.may_probe_ejected(request, endpoint)))
     return false;
   if (endpoints_.connection_limits().is_exhausted(endpoint, connections)) return false;
   if (!endpoints_.in_slow_start(endpoint)) return true;
-  endpoints_.earn_slow_start_tokens(endpoint, candidates.any_warm, candidates.sound_capacity,
+  endpoints_.earn_slow_start_tokens(endpoint, candidates.any_warm, candidates.healthy_capacity,
                                     candidates.considered);
   return endpoint.slow_start.tokens >= 1;
 }
 
-// At first this gateway's part of a few for each server, and room for the chance of arrivals about
-// that.
+// The initial limit is this gateway's share of a few requests per server, plus two standard
+// deviations of random arrivals.
 void LoadBalancer::initialise_limit() {
   if (concurrency_limit_ > 0 || endpoints_.empty()) return;
-  const double part = kFirstInFlight * static_cast<double>(endpoints_.size()) /
-                      context_.settings.fleet_size;
-  concurrency_limit_ = std::max(kMinLimit, part + 2 * std::sqrt(part));
+  const double share = kInitialInFlight * static_cast<double>(endpoints_.size()) /
+                       context_.settings.fleet_size;
+  concurrency_limit_ = std::max(kMinLimit, share + 2 * std::sqrt(share));
 }
 
 bool LoadBalancer::has_capacity(const Request& request) {
@@ -121,9 +127,9 @@
   return endpoints_.in_flight() + request.admission_jitter < concurrency_limit_;
 }
 
-// Seconds of work that stand before an answer, and what else an attempt there takes: a handshake by
-// its price against a request's weight. Not at a server in slow start, whose tokens are there to be
-// used.
+// Expected seconds of work before the answer, times factors for the other costs of an attempt. A
+// handshake counts by its price relative to a request's weight, but not at a server in slow start,
+// whose tokens should be used.
 double LoadBalancer::cost_of(const Request& request, const Endpoint& endpoint,
                              bool needs_handshake) {
   const auto& settings = context_.settings;
@@ -135,7 +141,7 @@
   if (needs_handshake && !endpoints_.in_slow_start(endpoint))
     cost *= std::min(kMaxHandshakeCost, 1 + kPriceWeight * settings.handshake_price);
   for (const auto& attempt : request.attempts)
-    if (attempt.endpoint == endpoint.info.id) cost *= kTriedBeforeCost;
+    if (attempt.endpoint == endpoint.info.id) cost *= kRepeatedEndpointCost;
   return cost * (1 + kCostJitter * context_.random());
 }
 
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -1,4 +1,4 @@
-// Whether this gateway has room for one more attempt, and which server it goes to.
+// Decides whether this gateway has capacity for one more attempt, and selects the price server.
 #pragma once
 
 #include <cstdint>
@@ -9,9 +9,9 @@
 
 struct Selection {
   enum class Kind {
-    endpoint,     // to this server
-    wait,         // to none now, as there is no capacity
-    no_endpoint,  // to none, as none is there
+    endpoint,     // forward to this server
+    wait,         // no capacity at present
+    no_endpoint,  // no usable server
   };
   Kind kind = Kind::no_endpoint;
   EndpointId endpoint{};  // with Kind::endpoint
@@ -24,23 +24,23 @@
 
   Selection select(const Request& request);
 
-  // On own attempts out; 0: nothing was forwarded yet.
+  // Limit on this gateway's attempts in flight. 0: nothing was forwarded yet.
   double concurrency_limit() const { return concurrency_limit_; }
   void restore_limit(double limit) { concurrency_limit_ = limit; }
-  // The limit is learned from how answers stand against their latency objectives. Guards against
-  // queues at the servers that make all late. It can hurt when work is long by nature: then a part
-  // of the capacity stays unused.
+  // Adapts the limit to how answers compare with their latency objectives. This prevents queues at
+  // the servers that make all answers late. Drawback: with inherently long work, part of the
+  // capacity stays unused.
   void on_attempt_ended(const Request& request, const AttemptEnded& event);
-  // For best-effort requests: as many more as leave the rest of the limit to others.
+  // Number of additional best-effort requests that leave the rest of the limit to other requests.
   std::uint32_t best_effort_capacity();
 
  private:
-  // What a walk down the order of preference finds, as far as it needs to go.
+  // Result of a walk along the order of preference, up to the subset size.
   struct Candidates {
-    std::size_t considered = 0;  // of the order
-    double sound_capacity = 0;   // in warm servers' worth, of those that are sound
-    double usable_capacity = 0;  // and of all that are usable
-    bool any_sound = false;      // one that the request may go to
+    std::size_t considered = 0;   // length of the walk
+    double healthy_capacity = 0;  // of healthy servers, in warm servers' worth
+    double usable_capacity = 0;   // of all usable servers
+    bool any_healthy = false;     // a healthy server that the request may go to
     bool any_warm = false;
   };
 
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -9,15 +9,22 @@
 namespace petrelrail::policy {
 namespace {
 
-constexpr double kBadFailureRate = 0.4;     // of a server that should be found out
-constexpr double kMaxBadFailureRate = 0.9;  // where the others fail often as well
-constexpr double kBadFailureRatio = 3;      // against what the others fail
-constexpr double kSoundFailureRate = 0.02;  // at least, of servers that are well
-constexpr double kPriorOutcomes = 20;       // that the latter is worth before many were seen
-// Share of failures of the others from which nothing is held against one.
+// Minimum failure rate of a server that should be detected.
+constexpr double kBadFailureRate = 0.4;
+// Upper bound of that rate where the other servers fail often as well.
+constexpr double kMaxBadFailureRate = 0.9;
+// Failure rate of a bad server relative to the others.
+constexpr double kBadFailureRatio = 3;
+// Prior failure rate of healthy servers.
+constexpr double kHealthyFailureRate = 0.02;
+// Number of outcomes that the prior counts as.
+constexpr double kPriorOutcomes = 20;
+// Failure rate of the other servers from which on failures are not held against a single server.
 constexpr double kAllFailingRate = 0.25;
-constexpr Duration kScoreMemory = 10s;  // over which evidence fades
-constexpr Duration kLogInterval = 10s;  // a server that comes and goes is told of once in so long
+// Time constant with which evidence decays.
+constexpr Duration kScoreMemory = 10s;
+// Minimum interval between log lines about one server.
+constexpr Duration kLogInterval = 10s;
 
 }  // namespace
 
@@ -37,12 +44,14 @@
   const auto of_others = [now](const DecayingCounter& all, const DecayingCounter& own) {
     return std::max(0.0, all.count(now, kUsageMemory) - own.count(now, kUsageMemory));
   };
-  const double usual = (of_others(failures_, state.failures) + kSoundFailureRate * kPriorOutcomes) /
-                       (of_others(outcomes_, state.outcomes) + kPriorOutcomes);
-  if (usual >= kAllFailingRate) return;
-  const double bad = std::max(kBadFailureRate,
-                              std::min(kBadFailureRatio * usual, kMaxBadFailureRate));
-  const double evidence = failed ? std::log(bad / usual) : std::log((1 - bad) / (1 - usual));
+  const double baseline = (of_others(failures_, state.failures) +
+                           kHealthyFailureRate * kPriorOutcomes) /
+                          (of_others(outcomes_, state.outcomes) + kPriorOutcomes);
+  if (baseline >= kAllFailingRate) return;
+  const double bad_rate = std::max(kBadFailureRate,
+                                   std::min(kBadFailureRatio * baseline, kMaxBadFailureRate));
+  const double evidence = failed ? std::log(bad_rate / baseline)
+                                 : std::log((1 - bad_rate) / (1 - baseline));
   state.score.add(now, kScoreMemory, std::max(evidence, -score(endpoint)));
 }
 
@@ -52,10 +61,10 @@
 
 void OutlierDetector::eject(Endpoint& endpoint, const char* reason) {
   auto& state = endpoint.outlier;
-  state.ejection = next_ejection(state.ejection);
-  state.ejected_until = context_.now + with_jitter(state.ejection, context_);
-  if (state.ejection != kFirstEjection) return;
-  if (context_.now - std::exchange(state.first_ejected, context_.now) > kLogInterval)
+  state.ejection_duration = next_ejection(state.ejection_duration);
+  state.ejection_end_time = context_.now + with_jitter(state.ejection_duration, context_);
+  if (state.ejection_duration != kFirstEjection) return;
+  if (context_.now - std::exchange(state.ejection_start_time, context_.now) > kLogInterval)
     context_.log("server " + text_of(endpoint.info.id) + " ejected: " + reason);
 }
 
--- a/src/policy/quota_lease.hpp
+++ b/src/policy/quota_lease.hpp
@@ -1,4 +1,4 @@
-// A customer's lease on units of its quota, and what a request asks of it.
+// A customer's lease on units of its quota, and what a request needs from it.
 #pragma once
 
 #include <algorithm>
@@ -13,54 +13,56 @@
 
 using WindowUnits = HandoverState::WindowUnits;
 
-// A customer's lease under one plan. Each plan has windows and counts of its own: one that comes
-// under several plans has a lease for each.
+// Identifies a customer's lease under one plan. Each plan has windows and counts of its own, so a
+// customer with several plans has one lease per plan.
 struct LeaseId {
   CustomerId customer{};
   PlanIndex plan{};
 
   LeaseId() = default;
-  // The first plan unless another is named.
-  LeaseId(CustomerId its_customer, PlanIndex its_plan = {})
-      : customer(its_customer), plan(its_plan) {}
+  // Converts from a customer id; the plan defaults to the first one.
+  LeaseId(CustomerId customer_id, PlanIndex plan_index = {})
+      : customer(customer_id), plan(plan_index) {}
 
   auto operator<=>(const LeaseId&) const = default;
 };
 
-// What a request asks of its customer's lease, and what it has of it.
+// The quota side of a request: what it needs from its customer's lease and what it holds.
 struct QuotaRequest {
   RequestId id{};
   PlanIndex plan{};
   CustomerId customer{};
   double units = 1;
-  std::uint32_t gateways = 1;  // through how many gateways the customer may come
-  double priority = 0;         // against the most important request there can be, 0 to 1
-  bool best_effort = false;    // it gives way to all others, wherever something is short
-  bool settles_plan = false;   // its call also adds what its plan was admitted before it was leased
-  std::int64_t window = 0;     // of the units taken
+  std::uint32_t gateways = 1;  // number of gateways that serve the customer
+  double priority = 0;         // 0 to 1, relative to the most valuable request possible
+  bool best_effort = false;    // yields to all other requests where capacity is short
+  // Its counter call also adds the units that were admitted under its plan before they were leased.
+  bool settles_unleased_units = false;
+  std::int64_t window = 0;  // of the units held
   bool holds_units = false;
 
   LeaseId lease_id() const { return {customer, plan}; }
 };
 
-// Concurrency slots that requests hold, and how many of these are forwarded.
+// Concurrency slots held by requests, and how many of these requests are forwarded.
 struct SlotCounts {
   std::uint32_t in_use = 0, forwarded = 0;
 };
 
 struct QuotaLease {
-  HandoverState::CustomerLease state;  // what a successor goes on with
-  double queued_priority = -1;         // of the call that waits its turn; below 0: none waits
-  // Concurrency slots, for plans that limit them: taken by requests that wait or are forwarded.
+  HandoverState::CustomerLease state;  // exported to a successor
+  double queued_priority = -1;         // of the queued counter call; below 0: no call is queued
+  // Concurrency slots of plans that limit them, held by waiting and forwarded requests.
   std::uint32_t slots_in_use = 0;
-  std::uint32_t slots_forwarded = 0;  // and by those of them that are forwarded
+  std::uint32_t slots_forwarded = 0;  // slots of forwarded requests
   std::deque<QuotaRequest*> waiting;
 
-  QuotaLease() { state.current.window = std::numeric_limits<std::int64_t>::min(); }  // none yet
+  // Starts without a window.
+  QuotaLease() { state.current.window = std::numeric_limits<std::int64_t>::min(); }
 
   LeaseId id() const { return {state.customer, state.plan}; }
 
-  // The units of a window, the present one or one to come.
+  // Returns the units of the present window or of a later one, which is added if missing.
   WindowUnits& units_of(std::int64_t window) {
     if (window == state.current.window) return state.current;
     auto& prefetched = state.prefetched;
--- a/src/policy/quota_lease_handover.cpp
+++ b/src/policy/quota_lease_handover.cpp
@@ -1,5 +1,4 @@
-// What a quota lease table leaves to its successor, and how one takes it over under settings of its
-// own.
+// Export of a quota lease table to its successor, and import under possibly different settings.
 #include <algorithm>
 #include <utility>
 
@@ -12,7 +11,7 @@
   handed_over_ = true;
   state.counter_reset_time = counter_reset_;
   state.call_rate = rate_limiter_.rate();
-  state.fastest_calls = rate_limiter_.fastest_responses();
+  state.fastest_call_times = rate_limiter_.fastest_responses();
   for (std::size_t i = 0; i < quotas_.size(); ++i)
     state.plans.push_back({context_.settings.plans[i].name, quotas_[i].window});
   for (auto& [id, lease] : leases_) {
@@ -27,15 +26,15 @@
 
 void QuotaLeaseTable::restore(const HandoverState& state) {
   counter_reset_ = std::max(counter_reset_, state.counter_reset_time);
-  rate_limiter_.restore(state.call_rate, state.fastest_calls);
+  rate_limiter_.restore(state.call_rate, state.fastest_call_times);
   for (const auto& exported : state.leases) {
     const auto [plan, same_windows] = import_plan(state, exported.plan);
     if (!plan) continue;
-    const bool units_hold = same_windows && quota(*plan).metered &&
-                            (!state.plans.empty() ||
-                             is_numbered_alike(exported, *plan, state.export_time));
+    const bool units_valid = same_windows && quota(*plan).metered &&
+                             (!state.plans.empty() ||
+                              has_same_window_number(exported, *plan, state.export_time));
     auto& lease = leases_[{exported.customer, *plan}];
-    if (units_hold) lease.state = exported;
+    if (units_valid) lease.state = exported;
     lease.state.customer = exported.customer;
     lease.state.plan = *plan;
     lease.state.last_request_time = exported.last_request_time;
@@ -46,25 +45,25 @@
   }
 }
 
-// By name, as plans may have changed their places, and first at the same place.
+// Matches plans by name, as their positions may differ; the same position is tried first.
 QuotaLeaseTable::ImportedPlan QuotaLeaseTable::import_plan(const HandoverState& state,
                                                            PlanIndex exported) const {
-  const auto place = static_cast<std::size_t>(exported);
+  const auto index = static_cast<std::size_t>(exported);
   const auto& plans = context_.settings.plans;
   if (state.plans.empty())
-    return place < plans.size() ? ImportedPlan{exported, true} : ImportedPlan{};
-  if (place >= state.plans.size()) return {};
-  const auto& [name, length] = state.plans[place];
-  if (place < plans.size() && plans[place].name == name)
-    return {exported, quotas_[place].window == length};
+    return index < plans.size() ? ImportedPlan{exported, true} : ImportedPlan{};
+  if (index >= state.plans.size()) return {};
+  const auto& [name, length] = state.plans[index];
+  if (index < plans.size() && plans[index].name == name)
+    return {exported, quotas_[index].window == length};
   const auto it = std::ranges::find(plans, name, &Plan::name);
   if (it == plans.end()) return {};
   const auto plan = static_cast<PlanIndex>(it - plans.begin());
   return {plan, quota(plan).window == length};
 }
 
-bool QuotaLeaseTable::is_numbered_alike(const HandoverState::CustomerLease& exported,
-                                        PlanIndex plan, Time exported_at) const {
+bool QuotaLeaseTable::has_same_window_number(const HandoverState::CustomerLease& exported,
+                                             PlanIndex plan, Time exported_at) const {
   QuotaLease lease;
   lease.state.customer = exported.customer;
   lease.state.plan = plan;
--- a/src/policy/quota_lease_table.cpp
+++ b/src/policy/quota_lease_table.cpp
@@ -10,35 +10,38 @@
 namespace petrelrail::policy {
 namespace {
 
-constexpr double kQuantumRequests = 4;  // "a few requests' units" in one lease
-// How far ahead units are leased: outlasts most outages of a counter.
+// Size of one lease, in requests.
+constexpr double kQuantumRequests = 4;
+// How far ahead units are leased: longer than most counter outages.
 constexpr Duration kPrefetchSpan = 20s;
-constexpr std::int64_t kMaxPrefetchWindows = 16;  // bounds the table and the calls
-constexpr int kMaxPrefetchCalls = 2;              // for one request
-// Of the customer's demand: some more, as arrivals are uneven.
+// Bounds the size of the table and the number of calls.
+constexpr std::int64_t kMaxPrefetchWindows = 16;
+// Upper bound of prefetch calls per request.
+constexpr int kMaxPrefetchCalls = 2;
+// Prefetched units relative to the customer's average demand; the margin covers uneven arrivals.
 constexpr double kPrefetchShare = 1.25;
-// Part of the quantum that must be missing before a call is made.
+// Minimum fraction of the quantum that must be missing before a call is made.
 constexpr double kPrefetchStep = 0.5;
-// Requests a window here from which a customer counts as steady.
+// Minimum number of requests per window here for a customer to count as steady.
 constexpr double kSteadyDemand = 0.4;
-// Part of a window before which its count says little of the rate.
+// Fraction of a window before which its count is a poor estimate of the rate.
 constexpr double kMinElapsedShare = 0.25;
-constexpr double kUnitTolerance = 1e-6;   // totals come rounded to seven digits
-constexpr double kCountTolerance = 2e-3;  // or to thousandths: less is missing from no count
-constexpr double kMinSpan = 1e-9;         // seconds, so that nothing is divided by none
+constexpr double kUnitTolerance = 1e-6;   // totals are rounded to seven digits
+constexpr double kCountTolerance = 2e-3;  // or to thousandths; a smaller difference is not a loss
+constexpr double kMinSpan = 1e-9;         // in seconds, avoids division by zero
 
 }  // namespace
 
 struct QuotaLeaseTable::Demand {
   double units = 0, largest = 1, gateways = 1, priority = 0;
-  bool settles_plan = false;
+  bool settles_unleased_units = false;
 };
 
 QuotaLeaseTable::QuotaLeaseTable(DecisionContext& context)
     : context_(context),
       rate_limiter_(context.settings.counter_timeout, context.settings.fleet_size),
       quotas_(context.settings.plans.begin(), context.settings.plans.end()),
-      count_names_(context.settings.plans, quotas_),
+      counter_keys_(context.settings.plans, quotas_),
       unsettled_units_(quotas_.size()) {}
 
 const WindowedQuota& QuotaLeaseTable::quota(PlanIndex plan) const { return at(quotas_, plan); }
@@ -64,10 +67,10 @@
   state.recent_requests = recent.count(context_.now, kUsageMemory) + 1;
   state.last_request_time = context_.now;
   if (!context_.settings.counter && state.current.counted == 0) {
-    const double even_part = quota(state.plan).limit / std::max(1U, request.gateways);
+    const double even_share = quota(state.plan).limit / std::max(1U, request.gateways);
     state.current.counted = 1;
     state.current.exhausted = true;
-    state.current.held = std::max(context_.settings.max_units, even_part);
+    state.current.held = std::max(context_.settings.max_units, even_share);
   }
   prefetch(request, lease);
 }
@@ -81,7 +84,7 @@
   return true;
 }
 
-void QuotaLeaseTable::give_back(const QuotaRequest& request, double units) {
+void QuotaLeaseTable::return_units(const QuotaRequest& request, double units) {
   auto* lease = find(request.lease_id());
   if (lease && lease->state.current.window == request.window) lease->state.current.held += units;
 }
@@ -99,7 +102,7 @@
 }
 
 Duration QuotaLeaseTable::outage_backoff() const {
-  return std::max(scaled(context_.settings.counter_timeout, kRetryTimeouts),
+  return std::max(scaled(context_.settings.counter_timeout, kProbeIntervalTimeouts),
                   context_.now - rate_limiter_.down_since());
 }
 
@@ -107,20 +110,23 @@
                                                  const QuotaLease& lease, double latency) const {
   const auto& state = lease.state;
   const auto limit = at(context_.settings.plans, request.plan).max_concurrent;
-  const auto even_part = limit / std::max(1U, request.gateways);
-  if (state.other_gateways_rate < 0 || !quota(request.plan).metered) return std::max(1U, even_part);
+  const auto even_share = limit / std::max(1U, request.gateways);
+  if (state.other_gateways_rate < 0 || !quota(request.plan).metered)
+    return std::max(1U, even_share);
   const auto start = window_start(lease);
-  if (even_part == 0 && state.last_call_time < start) return limit;
+  if (even_share == 0 && state.last_call_time < start) return limit;
   const double elapsed = seconds(context_.now - start);
   const double elapsed_at_call = seconds(state.last_call_time - start) /
                                  std::max(kMinSpan, elapsed);
-  // Of what was leased a while ago, as if nothing had been since: what is asked now is told the
-  // rest.
-  const double span = even_part == 0 ? std::min(latency, elapsed) * elapsed_at_call : latency;
-  const double others = state.other_gateways_rate / std::max(request.units, kUnitTolerance) * span;
-  const double chance = even_part == 0 ? 0 : std::sqrt(others);
-  const double left = even_part == 0 ? limit - others : limit - others - chance;
-  return std::max(even_part, static_cast<std::uint32_t>(std::max(left, 0.0)));
+  // Uses what was leased until the last call, as if nothing had been leased since: the response to
+  // the present call reports the rest.
+  const double span = even_share == 0 ? std::min(latency, elapsed) * elapsed_at_call : latency;
+  const double slots_of_others = state.other_gateways_rate /
+                                 std::max(request.units, kUnitTolerance) * span;
+  const double deviation = even_share == 0 ? 0 : std::sqrt(slots_of_others);
+  const double remaining = even_share == 0 ? limit - slots_of_others
+                                           : limit - slots_of_others - deviation;
+  return std::max(even_share, static_cast<std::uint32_t>(std::max(remaining, 0.0)));
 }
 
 SlotCounts QuotaLeaseTable::slots_of(CustomerId customer) const {
@@ -140,14 +146,15 @@
 }
 
 bool QuotaLeaseTable::has_outstanding_call(const QuotaLease& lease) const {
-  return calls_.contains(count_names_.key(lease.id(), lease.state.current.window));
+  return calls_.contains(counter_keys_.key(lease.id(), lease.state.current.window));
 }
 
 QuotaLeaseTable::Demand QuotaLeaseTable::demand_of(const QuotaLease& lease) const {
   Demand demand;
   for (const auto* request : lease.waiting) {
     demand.priority = std::min(1.0, demand.priority + call_priority(*request));
-    demand.settles_plan = demand.settles_plan || request->settles_plan;
+    demand.settles_unleased_units = demand.settles_unleased_units ||
+                                    request->settles_unleased_units;
     demand.units += request->units;
     demand.largest = std::max(demand.largest, request->units);
     demand.gateways = std::max<double>(demand.gateways, request->gateways);
@@ -159,15 +166,15 @@
   const double limit = quota(lease.state.plan).limit;
   const double few_requests = kQuantumRequests * demand.largest;
   double quantum = std::min(few_requests, limit / (2.0 * demand.gateways));
-  // While calls are short, fewer of them, each for a window's demand: more than an even part, which
-  // for a customer of many gateways, who comes unevenly, would be less than one request.
-  const double few_here = std::min(few_requests, limit / kQuantumRequests);
+  // While calls are short, fewer calls are made, each for a window's demand. The bound is above an
+  // even share, which for a customer spread unevenly over many gateways can be below one request.
+  const double capped_few_requests = std::min(few_requests, limit / kQuantumRequests);
   if (rate_limiter_.is_congested()) {
-    const double part = std::max(limit / demand.gateways, few_here);
+    const double part = std::max(limit / demand.gateways, capped_few_requests);
     quantum = std::max(quantum, std::min(lease.state.average_demand, part));
   }
   if (handed_over_) quantum = 0;
-  // A part of a request would lie here unspent.
+  // A fraction of a request's units could not be spent.
   quantum = std::floor(quantum / demand.largest) * demand.largest;
   const double missing = demand.units - lease.state.current.held;
   return std::min(std::max({quantum, missing, demand.largest}), limit);
@@ -176,8 +183,8 @@
 bool QuotaLeaseTable::request_units(QuotaLease& lease) {
   auto& units = lease.state.current;
   const auto& plan_quota = quota(lease.state.plan);
-  // After a loss of counts nobody knows what was leased: windows begun before it stay shut for
-  // ceilings.
+  // After a loss of counts it is unknown what was leased: windows begun before it stay closed under
+  // a ceiling.
   if (plan_quota.has_ceiling && window_start(lease) <= counter_reset_) {
     units.exhausted = true;
     return false;
@@ -190,9 +197,9 @@
   }
   const double quantum = quantum_for(lease, demand);
   double unsettled = 0;
-  if (demand.settles_plan) {
-    auto& of_plan = at(unsettled_units_, lease.state.plan);
-    unsettled = std::min(std::exchange(of_plan, 0.0), plan_quota.limit);
+  if (demand.settles_unleased_units) {
+    auto& plan_unsettled = at(unsettled_units_, lease.state.plan);
+    unsettled = std::min(std::exchange(plan_unsettled, 0.0), plan_quota.limit);
   }
   const double correction = std::exchange(units.correction, 0);
   call_counter(lease, units.window, quantum, quantum + unsettled - correction);
@@ -267,7 +274,7 @@
 
 // ---- Windows
 
-// Windows are staggered by customer so that their starts do not crowd the counter.
+// Window starts are staggered by customer to avoid bursts of calls at the counter.
 Duration QuotaLeaseTable::window_offset(const QuotaLease& lease) const {
   const auto hashed = mix_hash(static_cast<std::uint64_t>(lease.state.customer));
   const auto length = static_cast<std::uint64_t>(quota(lease.state.plan).window.count());
@@ -298,11 +305,11 @@
   std::erase_if(state.prefetched, [window](const auto& units) { return units.window <= window; });
 }
 
-// ---- What a call asks and what its answer says
+// ---- Counter calls and responses
 
 void QuotaLeaseTable::call_counter(QuotaLease& lease, std::int64_t window, double quantum,
                                    double amount) {
-  const auto key = count_names_.key(lease.id(), window);
+  const auto key = counter_keys_.key(lease.id(), window);
   calls_[key] = CounterCall{lease.id(), window, quantum, amount};
   rate_limiter_.consume();
   const auto windows = window - lease.state.current.window + 1;
@@ -311,10 +318,11 @@
   context_.actions.emplace_back(AddToCounter{key, amount, std::min(lifetime, kMaxCounterLifetime)});
 }
 
-// Leases for windows to come, so that held units carry a customer over an outage of the counter.
-// Only for one that asked here in window after window, no more than that and within the quantum's
-// bound, so that half of every window stays free. It hurts when the customer then comes elsewhere:
-// what is held here is missing there. Not under a ceiling: a lost count may not be spent.
+// Leases units for future windows, so that held units carry a customer over an outage of the
+// counter. Only for customers that send requests here in consecutive windows, no more than their
+// demand and within the quantum's bound, so that half of every window stays free. Drawback: if the
+// customer then moves to another gateway, the units held here are missing there. Never under a
+// ceiling, as the units of a lost count must not be spent.
 void QuotaLeaseTable::prefetch(const QuotaRequest& request, QuotaLease& lease) {
   const auto& plan_quota = quota(lease.state.plan);
   const double demand = lease.state.average_demand;
@@ -322,9 +330,9 @@
       rate_limiter_.had_failures() || demand < kSteadyDemand * request.units ||
       request.units * request.gateways > plan_quota.limit || !rate_limiter_.has_spare_tokens())
     return;
-  const double even_half = std::floor(plan_quota.limit / (2.0 * request.gateways));
+  const double half_even_share = std::floor(plan_quota.limit / (2.0 * request.gateways));
   const double quantum = std::clamp(std::ceil(demand * kPrefetchShare), request.units,
-                                    std::max(even_half, request.units));
+                                    std::max(half_even_share, request.units));
   const auto windows = std::min<std::int64_t>(kMaxPrefetchWindows,
                                               kPrefetchSpan / plan_quota.window);
   const auto present = lease.state.current.window;
@@ -334,15 +342,15 @@
     auto& units = lease.units_of(window);
     const double missing = quantum - units.held;
     if (units.exhausted || missing < kPrefetchStep * quantum ||
-        calls_.contains(count_names_.key(lease.id(), window)))
+        calls_.contains(counter_keys_.key(lease.id(), window)))
       continue;
     ++calls;
     call_counter(lease, window, missing, missing - std::exchange(units.correction, 0));
   }
 }
 
-// A timed-out add counts as refused and is taken off at the next call. Under a ceiling it is not:
-// were it never added, taking it off would let the count run past the limit.
+// A timed-out add is treated as refused and subtracted by the next call. Not under a ceiling: if
+// the add never happened, the subtraction would let the count run past the limit.
 void QuotaLeaseTable::apply_failure(const CounterCall& call, CounterOutcome outcome,
                                     const WindowedQuota& plan_quota, WindowUnits& units) const {
   if (plan_quota.has_ceiling) return;
@@ -354,12 +362,12 @@
                                      WindowUnits& units) {
   const auto& plan_quota = quota(lease.state.plan);
   const double counted_before = units.counted;
-  const auto answered_before = std::exchange(units.last_response_time, context_.now);
+  const auto previous_response_time = std::exchange(units.last_response_time, context_.now);
   units.counted += call.amount;
   const double tolerance = kUnitTolerance * std::max(1.0, std::abs(total)) + kUnitTolerance;
   if (total < units.counted - tolerance - kCountTolerance) {  // the counter has lost its counts
-    // One loss shows in every count that is older: it is not lost anew each time.
-    if (answered_before > counter_reset_) {
+    // One loss shows in every older count and is recorded only once.
+    if (previous_response_time > counter_reset_) {
       context_.log("counter lost its counts");
       counter_reset_ = context_.now;
     }
@@ -368,25 +376,26 @@
       return;
     }
     units.counted = total;
-    total += counted_before;  // at least what this gateway had leased is used
+    total += counted_before;  // a lower bound: what this gateway had leased is used
   }
   const double excess = std::clamp(total - plan_quota.limit, 0.0, call.quantum);
   if (call.quantum > 0 && call.window == lease.state.current.window)
     record_usage(total, units, lease);
   units.held += call.quantum - excess;
   if (total >= plan_quota.limit - tolerance) units.exhausted = true;
-  // What a spent window did not grant would help nobody; when calls are short nothing is handed
-  // back.
+  // Units added beyond the limit are returned, as a spent window cannot grant them; while calls
+  // are short they are not returned.
   if (excess > tolerance && excess < call.quantum - tolerance && !rate_limiter_.is_congested())
     call_counter(lease, call.window, 0, -excess);
 }
 
-// What the count of the present window says of the customer's demand, here and elsewhere.
+// Updates the customer's demand ratio and the lease rate of other gateways from the count of the
+// present window.
 void QuotaLeaseTable::record_usage(double total, const WindowUnits& units,
                                    QuotaLease& lease) const {
   const auto& plan_quota = quota(lease.state.plan);
-  const double left = seconds(until_next_window(lease)) / seconds(plan_quota.window);
-  const double elapsed_share = std::max(1 - left, kMinElapsedShare);
+  const double remaining = seconds(until_next_window(lease)) / seconds(plan_quota.window);
+  const double elapsed_share = std::max(1 - remaining, kMinElapsedShare);
   lease.state.demand_ratio = total / plan_quota.limit / elapsed_share;
   const auto elapsed = std::max(context_.now - window_start(lease), Duration(1ms));
   lease.state.other_gateways_rate = std::max(0.0, total - units.counted) / seconds(elapsed);
--- a/src/policy/quota_lease_table.hpp
+++ b/src/policy/quota_lease_table.hpp
@@ -1,4 +1,4 @@
-// Units leased for customers by plan and window, the calls to the counter that lease them, and the
+// Leases of quota units by customer, plan and window, the counter calls that obtain them, and the
 // concurrency slots of plans that limit them.
 #pragma once
 
@@ -8,16 +8,16 @@
 #include <vector>
 
 #include "petrelrail/events.hpp"
-#include "policy/count_names.hpp"
+#include "policy/counter_keys.hpp"
 #include "policy/counter_rate_limiter.hpp"
 #include "policy/decision_context.hpp"
 #include "policy/quota_lease.hpp"
 
 namespace petrelrail::policy {
 
-// Invariants: units are spent only under the plan and in the window they were leased for; at most
-// one call is out for a lease and window; what all gateways hold and have spent of one window never
-// passes its limit while the counter keeps count.
+// Invariants: units are spent only under the plan and in the window for which they were leased; at
+// most one call is in flight per lease and window; the units that all gateways hold and have spent
+// in one window never exceed its limit while the counter keeps its counts.
 class QuotaLeaseTable {
  public:
   explicit QuotaLeaseTable(DecisionContext& context);
@@ -29,82 +29,89 @@
   bool empty() const { return leases_.empty(); }
   std::size_t size() const { return leases_.size(); }
   std::size_t outstanding_calls() const { return calls_.size(); }
-  QuotaLease* find(LeaseId id);  // null: there is none
+  QuotaLease* find(LeaseId id);  // null if there is none
   const QuotaLease* find(LeaseId id) const;
-  // The lease of the request's customer under the request's plan, made if there is none.
+  // Returns the lease of the request's customer and plan; creates it if there is none.
   QuotaLease& lease_of(const QuotaRequest& request);
 
   // ---- Units
-  // One more is asked for in this window; where there is no counter its part of the limit is there
-  // at once.
+  // Records the demand of one request in the present window. Without a counter, this gateway's
+  // share of the limit is available at once.
   void record_request(const QuotaRequest& request, QuotaLease& lease);
-  // Takes the request's units; false: not enough are held.
+  // Takes the request's units. Returns false if the lease holds too few.
   bool take(QuotaRequest& request, QuotaLease& lease) const;
-  // Units that a request leaves over, or lacks if below 0, are held again, within their window.
-  void give_back(const QuotaRequest& request, double units);
-  // Whether the units taken are of the present window. Those of one that has rolled since are gone.
+  // Returns unspent units to the lease; a negative number takes additional ones. No effect once the
+  // window has ended.
+  void return_units(const QuotaRequest& request, double units);
+  // Returns whether the units taken belong to the present window; units of an earlier window have
+  // expired.
   bool still_holds_units(QuotaRequest& request);
   Duration until_next_window(const QuotaLease& lease) const;
-  // How long to wait while the counter is down. Nobody knows for how long: as long again as it has
-  // been is the best guess.
+  // Retry advice while the counter is down. The duration of the outage is unknown: the time that it
+  // has already lasted is the best estimate of what remains.
   Duration outage_backoff() const;
 
-  // How many of the plan's concurrency slots are this gateway's: what the others are likely to
-  // leave, by the rate at which they lease and the time that an answer takes, but at least an even
-  // part. Guards against rejecting here while slots are free elsewhere; it can hurt for moments
-  // after a customer has moved. Where the even part is less than one slot, this window's leases
-  // decide; while they are not known a request may ask. `latency` in seconds.
+  // Number of the plan's concurrency slots that this gateway may use: what the other gateways are
+  // likely to leave, estimated from their lease rate and the latency of an answer, but at least an
+  // even share. This avoids rejections here while slots are free elsewhere. Drawback: the limit can
+  // be exceeded briefly after a customer moves to another gateway. If the even share is less than
+  // one slot, this window's leases decide; until they are known, a request may be sent to the
+  // counter. `latency` is in seconds.
   std::uint32_t concurrency_slots(const QuotaRequest& request, const QuotaLease& lease,
                                   double latency) const;
-  // Slots that the customer's requests hold under all of its plans.
+  // Slots held by the customer's requests under all of its plans.
   SlotCounts slots_of(CustomerId customer) const;
 
   // ---- Calls to the counter
-  // What a call for it is worth: under a ceiling nothing passes without one.
+  // Priority of a counter call for the request. Calls under a ceiling rank higher, as no request
+  // passes a ceiling without a call.
   double call_priority(const QuotaRequest& request) const;
   bool has_outstanding_call(const QuotaLease& lease) const;
-  // Makes a call for those that wait, or lets it wait its turn. False: for this window none can
-  // help.
+  // Makes or queues a counter call for the waiting requests. Returns false if no call for this
+  // window can grant units.
   bool request_units(QuotaLease& lease);
-  // The next lease whose call has waited for its turn; null: none may be made yet.
+  // Returns the next lease whose queued call may be made, or null.
   QuotaLease* next_in_queue();
-  // The lease that an answer is for; null: there is none any more.
+  // Returns the lease that the response belongs to, or null if it no longer exists.
   QuotaLease* on_response(const CounterResponse& response);
 
-  // While calls are short, though the counter answers, a request may pass before its units are
-  // leased. The next call made for one that might have passed so adds them: it settles all of its
-  // plan, and counts stay true on average. One for a customer, window and gateway, none under a
-  // ceiling, and only if the customer comes here no more often than an even part of its rate, and
-  // was not found over its quota lately. Guards what is inside quotas when the fleet has outgrown
-  // its counter. It hurts where one over its quota comes once to each of many gateways.
+  // Returns whether a request may be admitted before its units are leased. This protects customers
+  // within their quotas when the fleet has outgrown its counter: calls are short although the
+  // counter responds. The next call for a request that could have been admitted this way adds the
+  // units: it settles all unleased units of its plan, so counts stay correct on average. At most
+  // one request per customer, window and gateway is admitted, none under a ceiling, and only if the
+  // customer sends no more requests here than an even share of its rate and was not recently found
+  // over its quota. Drawback: a customer over its quota gains by sending one request to each of
+  // many gateways.
   bool may_admit_before_lease(const QuotaRequest& request, const QuotaLease& lease) const;
   void admit_before_lease(const QuotaRequest& request, QuotaLease& lease);
 
-  // Drops leases of past windows, so that customers seen once do not accumulate.
+  // Drops leases of past windows, so that one-time customers do not accumulate.
   void sweep();
 
   // ---- Hand-over
-  // Units are held by one of the two alone. Slots that the requests here hold are likely free by
-  // the times given.
+  // Units are held by only one of the two gateways: exporting removes them here. `slot_releases`
+  // gives the expected release times of slots held by requests of this gateway.
   void export_state(HandoverState& state, std::map<LeaseId, std::vector<Time>> slot_releases);
   void restore(const HandoverState& state);
-  void resume() { handed_over_ = false; }  // the successor has ended
+  // Called when the successor has ended.
+  void resume() { handed_over_ = false; }
 
  private:
   struct CounterCall {
     LeaseId lease;
     std::int64_t window = 0;
-    double quantum = 0;  // units wanted; 0: only hands back
-    double amount = 0;   // what was added, corrections taken off
+    double quantum = 0;  // units wanted; 0: the call only returns units
+    double amount = 0;   // what was added, less corrections
   };
-  struct Demand;  // of all that wait for a lease
-  // Where a predecessor's plan stands in these settings; none: it is not in them.
+  struct Demand;  // of all requests that wait for a lease
+  // Position of a predecessor's plan in these settings; nullopt if it is not among them.
   struct ImportedPlan {
     std::optional<PlanIndex> plan;
-    bool same_windows = false;  // its windows are numbered and counted as here
+    bool same_windows = false;  // windows are numbered and counted as here
   };
 
-  // ---- Windows; of leases under a plan with a rate only
+  // ---- Windows, only for leases under a plan with a rate
   Duration window_offset(const QuotaLease& lease) const;
   std::int64_t window_at(const QuotaLease& lease, Time time) const;
   std::int64_t window_at_present(const QuotaLease& lease) const;
@@ -120,19 +127,19 @@
   void apply_response(const CounterCall& call, double total, QuotaLease& lease, WindowUnits& units);
   void record_usage(double total, const WindowUnits& units, QuotaLease& lease) const;
   ImportedPlan import_plan(const HandoverState& state, PlanIndex exported) const;
-  // Whether the present window of an exported lease is numbered as under a plan here.
-  bool is_numbered_alike(const HandoverState::CustomerLease& exported, PlanIndex plan,
-                         Time exported_at) const;
+  // Returns whether the present window of an exported lease has the same number under a plan here.
+  bool has_same_window_number(const HandoverState::CustomerLease& exported, PlanIndex plan,
+                              Time exported_at) const;
 
   DecisionContext& context_;
   CounterRateLimiter rate_limiter_;
   std::vector<WindowedQuota> quotas_;  // by plan
-  CountNames count_names_;
+  CounterKeys counter_keys_;
   std::map<LeaseId, QuotaLease> leases_;
-  std::map<CounterKey, CounterCall> calls_;  // outstanding
-  // By plan: units admitted before they were leased, not yet in any count.
+  std::map<CounterKey, CounterCall> calls_;  // in flight
+  // By plan: units admitted before they were leased and not yet added to any count.
   std::vector<double> unsettled_units_;
-  // Slots taken by a predecessor's requests, until they are likely free.
+  // Slots held by a predecessor's requests, by expected release time.
   std::multimap<Time, LeaseId> inherited_slots_;
   Time counter_reset_ = Time::min();  // when the counter was last seen to have lost counts
   bool handed_over_ = false;          // a successor has taken over
--- a/src/policy/request.cpp
+++ b/src/policy/request.cpp
@@ -8,12 +8,13 @@
 namespace petrelrail::policy {
 namespace {
 
-// Part of the latency objective that a request may wait for a place; later is too late.
+// Fraction of the latency objective that a request may wait in the queue; a later answer would miss
+// the objective.
 constexpr double kQueueShare = 0.3;
-// Part of a try's time by which two that are the same may differ.
-constexpr double kSameTimeShare = 0.01;
-// Of the objective, expected before the first answer of a class.
-constexpr double kFirstLatencyShare = 1.0 / 8;
+// Fraction by which two values of time_left may differ and still count as equal.
+constexpr double kEqualTimeTolerance = 0.01;
+// Expected latency before the first answer of a class, as a fraction of the objective.
+constexpr double kInitialLatencyShare = 1.0 / 8;
 
 }  // namespace
 
@@ -29,9 +30,9 @@
   const double weight = request_class().priority_weight * quota.units;
   quota.priority = std::clamp(weight / classes->max_weight, 0.0, 1.0);
   admission_jitter = context.random() + 1 - quota.priority;
-  arrived = context.now;
+  arrival_time = context.now;
   deadline = context.now + arrival.time_left;
-  first_requested = context.now - time_since_first_try(arrival);
+  first_request_time = context.now - time_since_first_request(arrival);
 }
 
 const RequestClass& Request::request_class() const { return at(classes->classes, class_index); }
@@ -44,7 +45,7 @@
 
 double Request::expected_latency() const {
   const double average = statistics().average_latency;
-  return average > 0 ? average : seconds(request_class().latency_objective) * kFirstLatencyShare;
+  return average > 0 ? average : seconds(request_class().latency_objective) * kInitialLatencyShare;
 }
 
 bool Request::misses_objective(Time now) const {
@@ -52,15 +53,15 @@
 }
 
 Time Request::queue_deadline() const {
-  const auto objective = std::max(objective_end() - arrived, Duration{});
-  return arrived + scaled(std::min(objective, deadline - arrived), kQueueShare);
+  const auto objective = std::max(objective_end() - arrival_time, Duration{});
+  return arrival_time + scaled(std::min(objective, deadline - arrival_time), kQueueShare);
 }
 
 Time Request::retry_deadline() const {
-  const auto& its_class = request_class();
-  if (!may_have_run || its_class.idempotency == Idempotency::idempotent) return Time::max();
-  if (its_class.idempotency == Idempotency::non_idempotent) return Time::min();
-  return first_run + its_class.deduplication_window;
+  const auto& class_config = request_class();
+  if (!may_have_run || class_config.idempotency == Idempotency::idempotent) return Time::max();
+  if (class_config.idempotency == Idempotency::non_idempotent) return Time::min();
+  return first_run_time + class_config.deduplication_window;
 }
 
 bool Request::may_retry(Time now) const {
@@ -69,16 +70,16 @@
 }
 
 bool Request::client_may_retry(Time then) const {
-  const auto& its_class = request_class();
-  const bool known_everywhere = its_class.idempotency == Idempotency::idempotent ||
-                                its_class.deduplication_scope == DeduplicationScope::all;
+  const auto& class_config = request_class();
+  const bool known_everywhere = class_config.idempotency == Idempotency::idempotent ||
+                                class_config.deduplication_scope == DeduplicationScope::all;
   return then < retry_deadline() && (!may_have_run || known_everywhere);
 }
 
 bool Request::may_go_to(const EndpointInfo& endpoint) const {
-  const auto& its_class = request_class();
-  if (!may_have_run || its_class.idempotency != Idempotency::idempotency_key) return true;
-  switch (its_class.deduplication_scope) {
+  const auto& class_config = request_class();
+  if (!may_have_run || class_config.idempotency != Idempotency::idempotency_key) return true;
+  switch (class_config.deduplication_scope) {
     case DeduplicationScope::zone: return endpoint.zone == first_endpoint.zone;
     case DeduplicationScope::cell: return endpoint.cell == first_endpoint.cell;
     case DeduplicationScope::all: break;
@@ -88,24 +89,25 @@
 
 void Request::on_attempt_ended(const Attempt& attempt, AttemptOutcome outcome,
                                const EndpointInfo& endpoint) {
-  const bool not_run = outcome == AttemptOutcome::overloaded ||
-                       outcome == AttemptOutcome::connect_failed ||
-                       outcome == AttemptOutcome::never_sent;
-  if (not_run || std::exchange(may_have_run, true)) return;
-  first_run = attempt.forwarded;
+  const bool never_ran = outcome == AttemptOutcome::overloaded ||
+                         outcome == AttemptOutcome::connect_failed ||
+                         outcome == AttemptOutcome::never_sent;
+  if (never_ran || std::exchange(may_have_run, true)) return;
+  first_run_time = attempt.forwarded;
   first_endpoint = endpoint;
 }
 
-// How long ago a client's first try came. A retry is given what is left of the class's deadline,
-// counted from the first try; one that is given a whole try's time tells nothing.
-Duration Request::time_since_first_try(const RequestArrived& arrival) const {
+// Time since the client's first attempt. A retry's time_left is what remains of the class's
+// deadline since the first attempt; a retry with the full time of an attempt carries no such
+// information.
+Duration Request::time_since_first_request(const RequestArrived& arrival) const {
   auto& longest = statistics().longest_time_left;
   const auto max_time = request_class().deadline;
   if (!arrival.is_retry) {
     longest = std::max(longest, std::min(arrival.time_left, max_time));
     return Duration{};
   }
-  if (std::chrono::abs(arrival.time_left - longest) < scaled(longest, kSameTimeShare))
+  if (std::chrono::abs(arrival.time_left - longest) < scaled(longest, kEqualTimeTolerance))
     return Duration{};
   return std::max(max_time - arrival.time_left, Duration{});
 }
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -1,4 +1,4 @@
-// The state of one request: what it may still do and until when.
+// State of one request: which attempts are still allowed, and until when.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 struct Attempt {
   EndpointId endpoint{};
   Time forwarded{};
-  double work = 0;  // its part of Endpoint::load
+  double work = 0;  // share of Endpoint::load
   bool outstanding = true;
 };
 
@@ -23,19 +23,20 @@
 
 struct Request {
   QuotaRequest quota;
-  std::shared_ptr<const ClassSnapshot> classes;  // that it began under
+  std::shared_ptr<const ClassSnapshot> classes;  // at its arrival
   ClassIndex class_index{};
-  Time first_requested{};  // when its client's first try came, as far as that can be told
-  Time arrived{}, deadline{};
-  Time timer = Time::max();  // when it is due, see RequestTimers
+  Time first_request_time{};  // estimated arrival of the client's first attempt
+  Time arrival_time{}, deadline{};
+  Time timer_deadline = Time::max();  // see RequestTimers
   RequestStage stage = RequestStage::waiting_for_lease;
-  // 0 to 2: what must be free of the concurrency limit, by chance and by priority.
+  // From 0 to 2: capacity that must be free below the concurrency limit; a random part plus one
+  // that grows as priority falls.
   double admission_jitter = 0;
   bool may_have_run = false;
-  bool body_consumed = false;   // nothing is left to send a second time
-  Time first_run{};             // forwarding of the first attempt that may have run
-  EndpointInfo first_endpoint;  // where that was
-  bool holds_slot = false;      // is counted in QuotaLease::slots_in_use
+  bool body_consumed = false;   // part of the body was forwarded and not kept: no retry is possible
+  Time first_run_time{};        // when the first attempt that may have run was forwarded
+  EndpointInfo first_endpoint;  // of that attempt
+  bool holds_slot = false;      // counted in QuotaLease::slots_in_use
   std::vector<Attempt> attempts;
 
   Request(DecisionContext& context, const RequestArrived& arrival,
@@ -45,29 +46,29 @@
   const RequestClass& request_class() const;
   ClassStatistics& statistics() const;
   std::ptrdiff_t outstanding_attempts() const;
-  double expected_latency() const;  // seconds until a good answer
+  double expected_latency() const;  // of a successful answer, in seconds
 
-  Time objective_end() const { return first_requested + request_class().latency_objective; }
-  // An answer now would be worth nothing. Guards the units of those whose answer can still be in
-  // time.
+  Time objective_end() const { return first_request_time + request_class().latency_objective; }
+  // Returns whether an answer at `now` would be worthless. Saves units for requests whose answer
+  // can still be in time.
   bool misses_objective(Time now) const;
-  // The latest moment at which a first attempt still makes sense: an answer must fit into the
-  // latency objective.
+  // Latest useful time of a first attempt: the answer must still meet the latency objective.
   Time queue_deadline() const;
-  // By when another attempt has to start to have no second effect, at the servers that know of the
+  // Time by which a further attempt must start to have no second effect at servers that know the
   // first.
   Time retry_deadline() const;
   bool may_retry(Time now) const;
-  // Whether its client does no harm when it tries again then, through whatever gateway and server.
+  // Returns whether a retry by the client at that time is harmless, through any gateway and server.
   bool client_may_retry(Time then) const;
-  // Whether an attempt may go there: repeats of one with an idempotency key stay where it is known.
+  // Returns whether an attempt may go to that server: repeats with an idempotency key stay within
+  // the servers that know the key.
   bool may_go_to(const EndpointInfo& endpoint) const;
 
   void on_attempt_ended(const Attempt& attempt, AttemptOutcome outcome,
                         const EndpointInfo& endpoint);
 
  private:
-  Duration time_since_first_try(const RequestArrived& arrival) const;
+  Duration time_since_first_request(const RequestArrived& arrival) const;
 };
 
 }  // namespace petrelrail::policy
--- a/src/policy/request_state.hpp
+++ b/src/policy/request_state.hpp
@@ -1,7 +1,7 @@
-// 8 Rules: the one place that decides what may be done now for a request that was taken: whether an
-// attempt may begin or be written, a final answer be given, an answer count as whole, or its
-// client's connection end. Whoever does one of these asks here first. A step that is turned down
-// here would have broken a promise to the client: a breach, which the caller counts.
+// Checks the invariants of a request: whether an attempt may begin or be written, a final answer be
+// given, a response count as complete, or the client's connection be closed. src/node checks here
+// before each of these steps. A refused step would have violated a guarantee to the client; the
+// caller counts the violation.
 #pragma once
 
 #include <algorithm>
@@ -14,18 +14,24 @@
 namespace petrelrail::policy {
 
 enum class InvariantViolation {
-  forwarded_after_end,  // an attempt for a request that has its final answer, or whose client has
-                        // left
-  forwarded_too_late,  // an attempt after the client's time, or after the time in which a repeat is
-                       // known as one
-  concurrent_attempt,  // an attempt while another one is out
-  too_many_attempts,   // more attempts than the settings allow
-  non_idempotent_retry,       // a repeat of what may have run and must not run twice
-  second_response,            // a final answer after the final answer
-  complete_response_aborted,  // an answer that was whole ended as a broken one
-  response_overdue,           // no final answer was given in time
-  closed_without_response,    // a client's connection ended under its request by this node's own
-                              // decision
+  // An attempt for a request that has its final answer or whose client has disconnected.
+  forwarded_after_end,
+  // An attempt after the client's deadline, or after the deduplication window of its key.
+  forwarded_too_late,
+  // An attempt while another one is in flight.
+  concurrent_attempt,
+  // More attempts than the settings allow.
+  too_many_attempts,
+  // A repeat of a non-idempotent request that may have run.
+  non_idempotent_retry,
+  // A final answer after the final answer.
+  second_response,
+  // A complete response was ended as an incomplete one.
+  complete_response_aborted,
+  // No final answer was given in time.
+  response_overdue,
+  // This node closed a client connection with a request pending.
+  closed_without_response,
 };
 inline constexpr std::array<std::string_view, 9> kInvariantViolationNames{
     "sent_after_end", "sent_too_late",    "second_copy",    "too_many_attempts", "unsafe_repeat",
@@ -33,45 +39,48 @@
 static_assert(kInvariantViolationNames.size() ==
               static_cast<std::size_t>(InvariantViolation::closed_without_response) + 1);
 
-// By how much two readings of the clock for one event may differ.
+// Maximum difference between two clock readings for one event.
 constexpr Duration kClockSlack = std::chrono::milliseconds(1);
 
-// What becomes of an answer whose last byte has come, or will not come.
+// What happens to a response whose last byte has arrived, or will not arrive.
 enum class ResponseDisposition { deliver, fail };
 
-// Bytes behind a whole answer leave open whose answer it is: it fails while that does no harm. Once
-// a part of it has been passed on its client can't be given another one: to withhold the rest would
-// lose the request.
-constexpr ResponseDisposition response_disposition(bool whole, bool bytes_behind, bool passed_on) {
-  if (!whole) return ResponseDisposition::fail;
-  return bytes_behind && !passed_on ? ResponseDisposition::fail : ResponseDisposition::deliver;
+// If further bytes follow a complete response, it is uncertain which request the response belongs
+// to: it fails while that is harmless. Once a part of it has been forwarded, the client can't be
+// given another response, and withholding the rest would lose the request.
+constexpr ResponseDisposition response_disposition(bool complete, bool has_trailing_bytes,
+                                                   bool is_partly_forwarded) {
+  if (!complete) return ResponseDisposition::fail;
+  return has_trailing_bytes && !is_partly_forwarded ? ResponseDisposition::fail
+                                                    : ResponseDisposition::deliver;
 }
 
-// Whether a client's connection may end now, for a reason that its client or this node has.
-constexpr std::optional<InvariantViolation> may_close_session(bool answer_owed,
-                                                              bool reason_is_own) {
-  if (answer_owed && reason_is_own) return InvariantViolation::closed_without_response;
+// Returns the violation that closing a client's connection now would be, or nullopt.
+constexpr std::optional<InvariantViolation> check_session_close(bool response_pending,
+                                                                bool is_node_initiated) {
+  if (response_pending && is_node_initiated) return InvariantViolation::closed_without_response;
   return std::nullopt;
 }
 
 struct RequestPolicy {
   Idempotency idempotency = Idempotency::idempotent;
-  Duration deduplication_window{};  // of a keyed request
-  Time deadline{};                  // the end of the client's wait
+  Duration deduplication_window{};  // of an idempotency key
+  Time deadline{};                  // the client's deadline
   std::uint32_t max_attempts = 1;
 };
 
-// One request, from its arrival to the end of its last attempt.
+// State of one request from its arrival to the end of its last attempt. The check_ functions return
+// the violation that a step would be, or nullopt if it is allowed.
 class RequestState {
  public:
-  explicit RequestState(const RequestPolicy& terms) : policy_(terms) {}
+  explicit RequestState(const RequestPolicy& policy) : policy_(policy) {}
 
   std::uint32_t attempts() const { return attempts_; }
   std::uint32_t outstanding_attempts() const { return outstanding_attempts_; }
   bool streams_response() const { return streams_response_; }
 
   // ---- Attempts
-  std::optional<InvariantViolation> may_forward(Time now) const {
+  std::optional<InvariantViolation> check_forward(Time now) const {
     if (ended_ || streams_response_) return InvariantViolation::forwarded_after_end;
     if (outstanding_attempts_ > 0) return InvariantViolation::concurrent_attempt;
     if (attempts_ >= policy_.max_attempts) return InvariantViolation::too_many_attempts;
@@ -84,8 +93,8 @@
     ++attempts_, ++outstanding_attempts_;
     if (!may_have_run_) first_forwarded_time_ = now;
   }
-  // The first byte of the attempt that is out. A no is no breach: the client may have left since it
-  // was sent.
+  // Returns whether the first byte of the attempt in flight may be written. False is no violation:
+  // the client may have disconnected since the attempt was forwarded.
   bool may_write(Time now) const { return !ended_ && now < write_deadline(); }
   void on_attempt_ended(AttemptOutcome outcome) {
     outstanding_attempts_ -= std::min(outstanding_attempts_, 1U);
@@ -96,17 +105,16 @@
   }
 
   // ---- The final answer
-  std::optional<InvariantViolation> may_respond() const {
+  std::optional<InvariantViolation> check_respond() const {
     return ended_ || streams_response_ ? std::optional(InvariantViolation::second_response)
                                        : std::nullopt;
   }
   void on_responded() { ended_ = true; }
   void on_stream_started() { streams_response_ = true; }
   void on_client_disconnected() { ended_ = true; }
-  // Whether the final answer should have been given: the request is `late` beyond its client's
-  // time.
-  bool overdue(Time now, Duration late) const {
-    return !ended_ && !streams_response_ && now >= policy_.deadline + late;
+  // Returns whether the final answer is missing `grace` after the client's deadline.
+  bool is_overdue(Time now, Duration grace) const {
+    return !ended_ && !streams_response_ && now >= policy_.deadline + grace;
   }
 
  private:
@@ -120,8 +128,8 @@
   std::uint32_t attempts_ = 0, outstanding_attempts_ = 0;
   Time first_forwarded_time_{};  // of the first attempt that may have run
   bool may_have_run_ = false;
-  bool streams_response_ = false;  // a part of its answer has been passed on
-  bool ended_ = false;             // it has its final answer, or its client has left
+  bool streams_response_ = false;  // part of the response was forwarded
+  bool ended_ = false;             // answered, or the client has disconnected
 };
 
 }  // namespace petrelrail::policy
--- a/src/policy/request_timers.hpp
+++ b/src/policy/request_timers.hpp
@@ -1,5 +1,5 @@
-// Deadlines of requests, and the one timer of the host that is set for what comes next. What a
-// deadline is for and when it is due is decided by others.
+// Deadlines of requests, and the single host timer that is armed for the earliest of them. The
+// meaning of a deadline is up to the caller.
 #pragma once
 
 #include <algorithm>
@@ -17,26 +17,27 @@
 
   std::size_t size() const { return deadlines_.size(); }
 
-  // `timer` is the request's own note of when it is due; max: not at all.
-  void set(RequestId id, Time& timer, Time due) {
-    if (timer != Time::max()) deadlines_.erase({timer, id});
-    timer = due;
+  // Sets or moves a request's deadline. `timer_deadline` is the request's record of it; Time::max()
+  // means none.
+  void set(RequestId id, Time& timer_deadline, Time due) {
+    if (timer_deadline != Time::max()) deadlines_.erase({timer_deadline, id});
+    timer_deadline = due;
     if (due != Time::max()) deadlines_.insert({due, id});
   }
 
-  // The request whose deadline comes first, for as long as one has passed.
+  // Returns the request with the earliest deadline if that has passed.
   std::optional<RequestId> next_due() const {
     if (deadlines_.empty() || deadlines_.begin()->first > context_.now) return std::nullopt;
     return deadlines_.begin()->second;
   }
 
-  // The host's timer is due; also when a coarser clock brings it a hair early.
+  // Called when the host's timer fires, which a coarser clock can do slightly early.
   void on_due(TimerId timer) {
     if (timer == TimerId(last_timer_)) armed_until_ = {};
   }
 
-  // Sets the host's timer for the first deadline or for `next`, whichever is sooner; max: for
-  // neither.
+  // Arms the host's timer for the earliest deadline or `next`, whichever is sooner; Time::max()
+  // means neither.
   void arm(Time next) {
     if (!deadlines_.empty()) next = std::min(next, deadlines_.begin()->first);
     if (next == Time::max() || (armed_until_ > context_.now && armed_until_ <= next)) return;
--- a/src/policy/settings_validation.cpp
+++ b/src/policy/settings_validation.cpp
@@ -1,4 +1,4 @@
-// Checks that settings make sense. It decides nothing: see src/policy/ for that.
+// Validates settings and changes of settings. Messages use the names of the settings file.
 #include <cmath>
 #include <initializer_list>
 #include <stdexcept>
@@ -12,13 +12,14 @@
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
-void require(bool good, const std::string& field) {
-  if (!good) throw std::invalid_argument("petrelrail settings: " + field);
+void require(bool valid, const std::string& field) {
+  if (!valid) throw std::invalid_argument("petrelrail settings: " + field);
 }
 
 using Numbers = std::initializer_list<std::pair<double, const char*>>;
-void require_0_or_more(const std::string& of, Numbers numbers) {
-  for (const auto& [value, name] : numbers) require(std::isfinite(value) && value >= 0, of + name);
+void require_0_or_more(const std::string& prefix, Numbers numbers) {
+  for (const auto& [value, name] : numbers)
+    require(std::isfinite(value) && value >= 0, prefix + name);
 }
 
 }  // namespace
@@ -61,16 +62,16 @@
 
 void validate_change(const Settings& from, const Settings& to) {
   validate(to);
-  const auto same = [](bool equal, const char* field) {
+  const auto require_unchanged = [](bool equal, const char* field) {
     require(equal, std::string(field) + " can't change while the node runs");
   };
-  same(from.fleet_size == to.fleet_size && from.gateway_index == to.gateway_index,
-       "fleet_size or index");
-  same(from.zone == to.zone, "zone");
-  same(from.counter == to.counter && from.counter_timeout == to.counter_timeout,
-       "counter or counter_timeout");
-  same(from.units_settled_after == to.units_settled_after, "settled_after");
-  same(from.plans == to.plans, "plans");
+  require_unchanged(from.fleet_size == to.fleet_size && from.gateway_index == to.gateway_index,
+                    "fleet_size or index");
+  require_unchanged(from.zone == to.zone, "zone");
+  require_unchanged(from.counter == to.counter && from.counter_timeout == to.counter_timeout,
+                    "counter or counter_timeout");
+  require_unchanged(from.units_settled_after == to.units_settled_after, "settled_after");
+  require_unchanged(from.plans == to.plans, "plans");
 }
 
 }  // namespace petrelrail
--- a/src/policy/tuning.hpp
+++ b/src/policy/tuning.hpp
@@ -1,4 +1,5 @@
-// Tuned values that several parts of the decision module share; others stand where they are used.
+// Parameters shared by several parts of the decision module; the others are defined where they are
+// used.
 #pragma once
 
 #include "petrelrail/types.hpp"
@@ -7,10 +8,10 @@
 
 using namespace std::chrono_literals;
 
-// EWMA gain per answer: about the last 14, as work varies a lot.
+// EWMA gain per answer: averages about the last 14 answers, as work varies widely.
 constexpr double kLatencyGain = 0.07;
-// Over which a customer's own requests here, and its use, are remembered.
+// Time constant for a customer's recent requests and usage at this gateway.
 constexpr Duration kUsageMemory = 20s;
-constexpr Duration kRateMemory = 4s;  // over which own answers a second are averaged
+constexpr Duration kRateMemory = 4s;  // averaging time of this gateway's answer rate
 
 }  // namespace petrelrail::policy
--- a/src/policy/windowed_quota.hpp
+++ b/src/policy/windowed_quota.hpp
@@ -1,4 +1,4 @@
-// The quota that follows from a customer's plan.
+// The windowed quota derived from a customer's plan.
 #pragma once
 
 #include <algorithm>
@@ -11,12 +11,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kMaxCounterLifetime = 60s;  // the counter keeps no name for longer
+constexpr Duration kMaxCounterLifetime = 60s;  // the counter keeps no key for longer
 
-// At most `limit` units in each window of length `window`. A span that touches k+1 windows can
-// admit (k+1) limits and lasts at least k-1 windows. A ceiling allows ceiling_burst + ceiling_rate
-// * span, so it holds for every k when 2 * limit <= ceiling_burst and limit <= ceiling_rate *
-// window. ceiling_slack stays as a margin.
+// Allows at most `limit` units in each window of length `window`. A span that touches k+1 windows
+// can admit (k+1) limits and lasts at least k-1 windows. A ceiling allows ceiling_burst +
+// ceiling_rate * span, so it holds for every k when 2 * limit <= ceiling_burst and limit <=
+// ceiling_rate * window. ceiling_slack remains as a margin.
 struct WindowedQuota {
   bool metered = false, has_ceiling = false;
   double limit = 0;
--- a/src/policy/zone_failover.cpp
+++ b/src/policy/zone_failover.cpp
@@ -8,36 +8,36 @@
 namespace petrelrail::policy {
 namespace {
 
-// Servers of a zone that can't be reached, in a row: it is left.
-constexpr std::size_t kUnreachableServers = 2;
-// Another zone that answered so lately is not cut off.
-constexpr Duration kAnsweredLately = std::chrono::seconds(1);
+// Number of servers of a zone, unreachable in succession, for which the zone is ejected.
+constexpr std::size_t kMinUnreachableServers = 2;
+// A zone that answered within this span is not cut off.
+constexpr Duration kRecentResponseSpan = std::chrono::seconds(1);
 
 }  // namespace
 
-bool ZoneFailover::is_left(ZoneIndex zone, Time now) const {
+bool ZoneFailover::is_ejected(ZoneIndex zone, Time now) const {
   const auto* state = find_or_null(zones_, zone);
-  return state && now < state->left_until;
+  return state && now < state->ejection_end_time;
 }
 
-bool ZoneFailover::is_on_trial(ZoneIndex zone) const {
+bool ZoneFailover::needs_probe(ZoneIndex zone) const {
   const auto* state = find_or_null(zones_, zone);
-  return state && state->left_for > Duration{};
+  return state && state->ejection_duration > Duration{};
 }
 
-bool ZoneFailover::has_trial(ZoneIndex zone) const {
+bool ZoneFailover::has_probe_in_flight(ZoneIndex zone) const {
   const auto* state = find_or_null(zones_, zone);
-  return state && state->trial_until > context_.now;
+  return state && state->probe_deadline > context_.now;
 }
 
 void ZoneFailover::on_forwarded(ZoneIndex zone) {
   auto* state = find_or_null(zones_, zone);
-  if (state) state->trial_until = context_.now + context_.settings.connect_timeout;
+  if (state) state->probe_deadline = context_.now + context_.settings.connect_timeout;
 }
 
 void ZoneFailover::on_response(ZoneIndex zone) {
   auto& state = zones_[zone];
-  if (state.left_for > Duration{}) context_.log("zone " + text_of(zone) + " is back");
+  if (state.ejection_duration > Duration{}) context_.log("zone " + text_of(zone) + " is back");
   state = Zone{};
   state.last_response = context_.now;
 }
@@ -47,13 +47,13 @@
   state.unreachable.insert(endpoint.id);
   const bool others_answer = std::ranges::any_of(zones_, [&](const auto& entry) {
     return entry.first != endpoint.zone &&
-           entry.second.last_response + kAnsweredLately >= context_.now;
+           entry.second.last_response + kRecentResponseSpan >= context_.now;
   });
-  if (state.unreachable.size() < kUnreachableServers || !others_answer) return;
-  if (state.left_for == Duration{})
+  if (state.unreachable.size() < kMinUnreachableServers || !others_answer) return;
+  if (state.ejection_duration == Duration{})
     context_.log("zone " + text_of(endpoint.zone) + " left: it can't be reached");
-  state.left_for = next_ejection(state.left_for);
-  state.left_until = context_.now + with_jitter(state.left_for, context_);
+  state.ejection_duration = next_ejection(state.ejection_duration);
+  state.ejection_end_time = context_.now + with_jitter(state.ejection_duration, context_);
 }
 
 }  // namespace petrelrail::policy
--- a/src/policy/zone_failover.hpp
+++ b/src/policy/zone_failover.hpp
@@ -1,4 +1,4 @@
-// Zones that can't be reached are left for a while.
+// Zone failover: ejects zones that can't be reached.
 #pragma once
 
 #include <map>
@@ -9,18 +9,18 @@
 
 namespace petrelrail::policy {
 
-// A zone is left when servers of it can't be reached, one after another, and nothing comes from it,
-// while another zone answers: else it is this gateway that is cut off. One request at a time tries
-// it again.
+// A zone is ejected when several of its servers in succession are unreachable and nothing is
+// received from it while another zone answers; if no other zone answers, this gateway itself is cut
+// off. After the ejection one request at a time probes the zone.
 class ZoneFailover {
  public:
   explicit ZoneFailover(DecisionContext& context) : context_(context) {}
 
-  bool is_left(ZoneIndex zone, Time now) const;
-  // It was left and nothing has come from it since.
-  bool is_on_trial(ZoneIndex zone) const;
-  // A trial of it is out.
-  bool has_trial(ZoneIndex zone) const;
+  bool is_ejected(ZoneIndex zone, Time now) const;
+  // Returns whether the zone was ejected and has not answered since.
+  bool needs_probe(ZoneIndex zone) const;
+  // Returns whether a probe of the zone is in flight.
+  bool has_probe_in_flight(ZoneIndex zone) const;
 
   void on_forwarded(ZoneIndex zone);
   void on_response(ZoneIndex zone);
@@ -28,10 +28,10 @@
 
  private:
   struct Zone {
-    std::set<EndpointId> unreachable;  // since the last answer
+    std::set<EndpointId> unreachable;  // servers, since the zone's last answer
     Time last_response = Time::min();
-    Time left_until = Time::min(), trial_until = Time::min();
-    Duration left_for{};
+    Time ejection_end_time = Time::min(), probe_deadline = Time::min();
+    Duration ejection_duration{};
   };
 
   DecisionContext& context_;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1067,9 +1067,9 @@
     h.outcome(*s, AttemptOutcome::ok, true);
   }
   EXPECT_EQ(h.gateway.endpoint_counts(h.now).listed, 2u);
-  EXPECT_EQ(h.gateway.endpoint_counts(h.now).avoided, 1u);
+  EXPECT_EQ(h.gateway.endpoint_counts(h.now).excluded, 1u);
   h.give(OperatorEjection{EndpointId{1}, false});
-  EXPECT_EQ(h.gateway.endpoint_counts(h.now).avoided, 0u);
+  EXPECT_EQ(h.gateway.endpoint_counts(h.now).excluded, 0u);
   int there = 0;
   for (int i = 0; i < 40; ++i) {
     h.now += 50ms;
@@ -1307,7 +1307,7 @@
   const auto idle = h.gateway.sizes();
   EXPECT_EQ(idle.requests, 0u);
   EXPECT_EQ(idle.customers, 0u);
-  EXPECT_EQ(idle.calls, 0u);
+  EXPECT_EQ(idle.counter_calls, 0u);
   EXPECT_EQ(idle.timers, 0u);
   EXPECT_EQ(idle.endpoints, 4u);
 }
--- a/tests/golden_codec_test.cpp
+++ b/tests/golden_codec_test.cpp
@@ -36,7 +36,7 @@
   lease.prefetched.push_back({42, 2, 2, 0, Time::min(), false, true});
   s.leases = {lease, HandoverState::CustomerLease{}};
   s.latencies = {{"a \"class\"", 0.125}};
-  s.fastest_calls = {0.001, 0.002};
+  s.fastest_call_times = {0.001, 0.002};
   s.call_rate = 90;
   s.concurrency_limit = 12;
   s.recent_responses = 8;
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -29,7 +29,7 @@
   l.prefetched.push_back({42, 2, 2, 0, Time::min(), false, true});
   s.leases = {l, HandoverState::CustomerLease{}};
   s.latencies = {{"a \"class\"", 0.125}};
-  s.fastest_calls = {0.001, 0.002};
+  s.fastest_call_times = {0.001, 0.002};
   s.call_rate = 90, s.concurrency_limit = 12, s.recent_responses = 8, s.recent_arrivals = 9,
   s.export_time = Time(8h), s.counter_reset_time = Time(2h);
   const auto text = to_json(s).dump();
--- a/tests/plan_change_test.cpp
+++ b/tests/plan_change_test.cpp
@@ -234,7 +234,7 @@
   EXPECT_GT(changes.forwarded(), 1000U);
   EXPECT_EQ(changes.unanswered(), 0U);
   EXPECT_EQ(changes.host().gateway.sizes().requests, 0U);
-  EXPECT_EQ(changes.host().gateway.sizes().calls, 0U);
+  EXPECT_EQ(changes.host().gateway.sizes().counter_calls, 0U);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, PlanChange, testing::Range<std::uint64_t>(1, 13));
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -209,7 +209,7 @@
   EXPECT_TRUE(table.take(a, *l));
   EXPECT_DOUBLE_EQ(l->state.current.held, 3);
   EXPECT_TRUE(table.still_holds_units(a));
-  table.give_back(a, 1);
+  table.return_units(a, 1);
   EXPECT_DOUBLE_EQ(l->state.current.held, 4);
   context.now += table.until_next_window(*l);
   EXPECT_FALSE(table.still_holds_units(a));
@@ -324,7 +324,7 @@
     for (int k = 0; k < 5; ++k) attempt(2, AttemptOutcome::ok), attempt(3, AttemptOutcome::ok);
   }
   EXPECT_TRUE(endpoints.is_ejected(server(1)));
-  EXPECT_EQ(endpoints.counts(context.now).avoided, 1u);
+  EXPECT_EQ(endpoints.counts(context.now).excluded, 1u);
   context.now += 10s;
   EXPECT_FALSE(endpoints.is_ejected(server(1)));
 }
@@ -334,7 +334,7 @@
   for (int i = 0; i < 60; ++i)
     for (std::uint32_t k = 1; k <= 3; ++k)
       attempt(k, i % 2 ? AttemptOutcome::ok : AttemptOutcome::error);
-  EXPECT_EQ(endpoints.counts(context.now).avoided, 0u);
+  EXPECT_EQ(endpoints.counts(context.now).excluded, 0u);
 }
 
 TEST_F(EndpointTableTest, AZoneIsLeftOnlyWhileAnotherAnswers) {
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -150,7 +150,7 @@
     EXPECT_EQ(o.answers, 1) << "request " << static_cast<std::uint64_t>(key.second);
   for (auto& h : hosts) {
     EXPECT_EQ(h.gateway.sizes().requests, 0u);
-    EXPECT_EQ(h.gateway.sizes().calls, 0u);
+    EXPECT_EQ(h.gateway.sizes().counter_calls, 0u);
     EXPECT_LE(h.gateway.sizes().customers, 3u);
   }
   return run;
