--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -443,7 +443,7 @@
 bool Node::on_stream_started(const UpstreamExchange& exchange, const ResponseHead& head) {
   const auto it = open_requests_.find(exchange.request);
   if (it == open_requests_.end() || !it->second.response_sink) return false;
-  if (const auto breach = it->second.state.may_respond())
+  if (const auto breach = it->second.state.check_respond())
     return on_invariant_violation(*breach, it->second.request_message->request_id), false;
   it->second.state.on_stream_started();
   it->second.response_sink->begin_stream(head);
@@ -501,7 +501,7 @@
 std::string Node::metrics_text() {
   const auto servers = gateway_.endpoint_counts(timers_.now());
   return metrics_.text(
-      {concurrent_, servers.listed, servers.avoided, http_server_.size(),
+      {concurrent_, servers.listed, servers.excluded, http_server_.size(),
        http_server_.accept_failures(), upstream_.stats(), log::stats(), timers_.now(),
        gossip_ && gossip_->started() ? gossip_.get() : nullptr,
        coordination_ && coordination_->cluster_state().started() ? coordination_.get() : nullptr,
@@ -544,7 +544,7 @@
   counter_->call(name, amount, life, std::move(told));
 }
 
-bool Node::quota_calls_waiting() const { return gateway_.sizes().waiting_calls > 0; }
+bool Node::quota_calls_waiting() const { return gateway_.sizes().queued_counter_calls > 0; }
 
 void Node::send_request(ClientRequest request, std::shared_ptr<ResponseSink> sink) {
   accept_request(std::move(request), std::move(sink));
@@ -577,7 +577,7 @@
   auto& o = it->second;
   const Time now = timers_.now();
   const auto attempt = o.state.attempts();
-  const auto breach = o.state.may_forward(now);
+  const auto breach = o.state.check_forward(now);
   o.state.on_forwarded(now);
   if (breach) {
     on_invariant_violation(*breach, o.request_message->request_id);
@@ -649,7 +649,7 @@
   // One whose client has left may still be refused by a decision that had been made: nobody is
   // told.
   if (const auto sink = it->second.response_sink) {
-    if (const auto breach = it->second.state.may_respond())
+    if (const auto breach = it->second.state.check_respond())
       return on_invariant_violation(*breach, it->second.request_message->request_id);
     it->second.response_sink.reset();
     it->second.state.on_responded();
@@ -690,7 +690,7 @@
   std::vector<RequestId> overdue;
   for (const auto& [id, o] : open_requests_)
     if (o.response_sink && !o.request_message->body_stream &&
-        o.state.overdue(now, limits::kOverdueTolerance))
+        o.state.is_overdue(now, limits::kOverdueTolerance))
       overdue.push_back(id);
   for (const auto id : overdue) {
     on_invariant_violation(policy::InvariantViolation::response_overdue,
