--- a/src/node/boost.cpp
+++ b/src/node/boost.cpp
@@ -1,3 +1,4 @@
-// The parts of Boost that need no template arguments, compiled once.
+// Compiles the non-template parts of Boost.Asio and Boost.Beast once, for their separate
+// compilation mode.
 #include <boost/asio/impl/src.hpp>
 #include <boost/beast/src.hpp>
--- a/src/node/cluster_state.cpp
+++ b/src/node/cluster_state.cpp
@@ -14,7 +14,7 @@
 using fleet::MemberId;
 using nlohmann::json;
 
-// What passes to a successor goes as text: a record as its bytes on the wire, in hex.
+// The hand-over state is JSON: a record is stored as its bytes on the wire, in hex.
 std::string hex_of(std::string_view bytes) {
   constexpr std::string_view digits = "0123456789abcdef";
   std::string text;
@@ -22,21 +22,21 @@
   for (const unsigned char c : bytes) text += digits[c >> 4U], text += digits[c & 0xFU];
   return text;
 }
-std::string bytes_of(const std::string& hex) {
+std::string bytes_from_hex(const std::string& hex) {
   const auto value = [](char c) {
     const auto at = std::string_view("0123456789abcdef").find(c);
-    if (at == std::string_view::npos) throw std::runtime_error("not hex");
+    if (at == std::string_view::npos) throw std::runtime_error("not a hex digit");
     return static_cast<unsigned>(at);
   };
-  if (hex.size() % 2 != 0) throw std::runtime_error("half a byte");
+  if (hex.size() % 2 != 0) throw std::runtime_error("odd number of hex digits");
   std::string bytes;
   for (std::size_t i = 0; i < hex.size(); i += 2)
     bytes += static_cast<char>(value(hex[i]) << 4U | value(hex[i + 1]));
   return bytes;
 }
 Time::rep ns(Time t) { return t.time_since_epoch().count(); }
-Time time_of(const json& j) { return Time(Duration(j.get<Duration::rep>())); }
-MemberId member_of(const json& j) { return MemberId(j.get<std::uint16_t>()); }
+Time time_from_json(const json& j) { return Time(Duration(j.get<Duration::rep>())); }
+MemberId member_from_json(const json& j) { return MemberId(j.get<std::uint16_t>()); }
 
 json to_json(const Duty::State& s) {
   json rights = json::array(), heard = json::array();
@@ -48,17 +48,18 @@
                   s.claim->unknown};
   return j;
 }
-Duty::State duty_state(const json& j) {
+Duty::State lease_state_from_json(const json& j) {
   Duty::State s;
-  s.began = time_of(j.at("began"));
+  s.began = time_from_json(j.at("began"));
   for (const auto& r : j.at("rights"))
     s.rights.push_back({r.at(0).get<fleet::Epoch>(), r.at(1).get<bool>()});
   for (const auto& h : j.at("heard"))
-    s.heard.push_back({member_of(h.at(0)), h.at(1).get<fleet::Epoch>(), time_of(h.at(2))});
+    s.heard.push_back(
+        {member_from_json(h.at(0)), h.at(1).get<fleet::Epoch>(), time_from_json(h.at(2))});
   if (const auto it = j.find("claim"); it != j.end()) {
     const auto phase = it->at(1).get<int>();
     if (phase < 0 || phase > static_cast<int>(Duty::Claim::Phase::confirming))
-      throw std::runtime_error("a claim's phase that is not known");
+      throw std::runtime_error("unknown claim phase");
     s.claim = Duty::Claim{it->at(0).get<std::uint64_t>(), Duty::Claim::Phase(phase),
                           it->at(2).get<double>(), it->at(3).get<bool>()};
   }
@@ -67,7 +68,7 @@
 
 json to_json(const fleet::Records::State& s) {
   json records = json::array(), fresh = json::array(), written = json::array();
-  // As the datagrams that would tell of them, one each.
+  // Each record is stored as a datagram that carries it alone.
   for (const auto& r : s.records)
     records.push_back(
         hex_of(fleet::encode({{MemberId(0), 1, 1, 0, 0, 0}, fleet::RecordTell{{r}}}, {})));
@@ -78,19 +79,19 @@
           {"written", std::move(written)},
           {"caught_up", s.caught_up}};
 }
-fleet::Records::State records_state(const json& j) {
+fleet::Records::State store_state_from_json(const json& j) {
   fleet::Records::State s;
   for (const auto& r : j.at("records")) {
-    const auto bytes = bytes_of(r.get<std::string>());
+    const auto bytes = bytes_from_hex(r.get<std::string>());
     auto read = fleet::decode({reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()},
                               {});
     auto* tell = std::get_if<fleet::RecordTell>(&read.message.body);
     if (read.fault != fleet::Fault::none || tell == nullptr || tell->records.size() != 1)
-      throw std::runtime_error("a record that can't be read");
+      throw std::runtime_error("malformed record");
     s.records.push_back(std::move(tell->records.front()));
   }
   for (const auto& f : j.at("fresh"))
-    s.fresh.push_back({f.at(0).get<std::uint8_t>(), time_of(f.at(1))});
+    s.fresh.push_back({f.at(0).get<std::uint8_t>(), time_from_json(f.at(1))});
   for (const auto& w : j.at("written"))
     s.written.push_back(
         {w.at(0).get<std::uint8_t>(), w.at(1).get<std::uint64_t>(), w.at(2).get<std::uint32_t>()});
@@ -101,47 +102,48 @@
 }  // namespace
 
 ClusterState::ClusterState(Timers& timers, const ClusterStateConfig& config, std::uint64_t seed,
-                           Callbacks& owner)
-    : timers_(timers), config_(config), callbacks_(owner) {
+                           Callbacks& callbacks)
+    : timers_(timers), config_(config), callbacks_(callbacks) {
   std::uint64_t purpose = seed;
-  for (const auto& name : config_.names) {
-    Kept k{Duty(config_.duties, name, config_.self, purpose = mix_hash(purpose)), {}, false};
-    if (!by_hash_.emplace(k.duty.hash(), duties_.size()).second)
-      throw std::invalid_argument("two duties share a name's hash: " + name);
-    duties_.push_back(std::move(k));
+  for (const auto& name : config_.lease_names) {
+    LeaseState state{
+        Duty(config_.lease, name, config_.self, purpose = mix_hash(purpose)), {}, false};
+    if (!lease_by_hash_.emplace(state.lease.hash(), leases_.size()).second)
+      throw std::invalid_argument("two leases have the same name hash: " + name);
+    leases_.push_back(std::move(state));
   }
-  records_ = std::make_unique<fleet::Records>(config_.records, config_.self, config_.zone,
-                                              mix_hash(purpose));
+  store_ = std::make_unique<fleet::Records>(config_.store, config_.self, config_.zone,
+                                            mix_hash(purpose));
 }
 
 ClusterState::~ClusterState() {
   *alive_ = false;
-  timers_.cancel(due_);
+  timers_.cancel(timer_);
 }
 
 void ClusterState::start(const json* predecessor) {
   if (started_) return;
   const Time now = timers_.now();
   if (predecessor != nullptr) {
-    // All is read before anything is taken.
-    const auto state = records_state(predecessor->at("records"));
+    // Everything is parsed before anything is applied.
+    const auto state = store_state_from_json(predecessor->at("records"));
     std::vector<std::pair<std::size_t, Duty::State>> states;
     for (const auto& [name, s] : predecessor->at("duties").items())
-      for (std::size_t i = 0; i < duties_.size(); ++i)
-        if (duties_[i].duty.name() == name) states.emplace_back(i, duty_state(s));
-    records_->restore(now, state);
-    for (const auto& [i, s] : states) duties_[i].duty.take_over(now, s);
+      for (std::size_t i = 0; i < leases_.size(); ++i)
+        if (leases_[i].lease.name() == name) states.emplace_back(i, lease_state_from_json(s));
+    store_->restore(now, state);
+    for (const auto& [i, s] : states) leases_[i].lease.take_over(now, s);
   }
   started_ = true;
-  records_->start(now);
-  for (auto& k : duties_) k.duty.want(now, k.wanted);
+  store_->start(now);
+  for (auto& s : leases_) s.lease.want(now, s.candidate);
   run();
 }
 
 void ClusterState::on_view_changed(const fleet::View& view) {
   const Time now = timers_.now();
-  for (auto& k : duties_) k.duty.view(now, view);
-  records_->view(now, view);
+  for (auto& s : leases_) s.lease.view(now, view);
+  store_->view(now, view);
   if (started_) run();
 }
 
@@ -150,144 +152,147 @@
   const Time now = timers_.now();
   if (const auto* tell = std::get_if<fleet::DutyTell>(&message.body)) {
     for (const auto& word : tell->words)
-      if (const auto* at = find_or_null(by_hash_, word.duty))
-        duties_[*at].duty.heard(now, from, word);
+      if (const auto* index = find_or_null(lease_by_hash_, word.duty))
+        leases_[*index].lease.heard(now, from, word);
   } else {
-    records_->received(now, from, message);
+    store_->received(now, from, message);
   }
   run();
 }
 
 void ClusterState::step_down() {
   const Time now = timers_.now();
-  for (auto& k : duties_) k.duty.resign(now);
+  for (auto& s : leases_) s.lease.resign(now);
   if (started_) run();
 }
 
 bool ClusterState::has_stepped_down() const {
-  return !started_ || std::ranges::all_of(duties_, [](const Kept& k) { return k.duty.resigned(); });
+  return !started_ ||
+         std::ranges::all_of(leases_, [](const LeaseState& s) { return s.lease.resigned(); });
 }
 
 json ClusterState::export_state() {
   const Time now = timers_.now();
-  json duties = json::object();
-  for (auto& k : duties_)
-    duties[k.duty.name()] = petrelrail::to_json(k.duty.hand_over(now)), k.hold.reset();
+  json leases = json::object();
+  for (auto& s : leases_)
+    leases[s.lease.name()] = petrelrail::to_json(s.lease.hand_over(now)), s.tenure.reset();
   started_ = false;
-  timers_.cancel(due_);
-  return {{"duties", std::move(duties)}, {"records", petrelrail::to_json(records_->snapshot())}};
+  timers_.cancel(timer_);
+  return {{"duties", std::move(leases)}, {"records", petrelrail::to_json(store_->snapshot())}};
 }
 
-void ClusterState::want(std::size_t duty, bool wanted) {
-  auto& k = duties_.at(duty);
-  if (std::exchange(k.wanted, wanted) == wanted || !started_) return;
-  k.duty.want(timers_.now(), wanted);
+void ClusterState::set_candidate(std::size_t lease, bool candidate) {
+  auto& s = leases_.at(lease);
+  if (std::exchange(s.candidate, candidate) == candidate || !started_) return;
+  s.lease.want(timers_.now(), candidate);
   run();
 }
 
-std::optional<fleet::Epoch> ClusterState::may_act(std::size_t duty) const {
-  return started_ ? duties_.at(duty).duty.may_act(timers_.now()) : std::nullopt;
+std::optional<fleet::Epoch> ClusterState::valid_term(std::size_t lease) const {
+  return started_ ? leases_.at(lease).lease.may_act(timers_.now()) : std::nullopt;
 }
 
-// As seen at the last look, if that still holds.
-std::optional<ClusterState::Hold> ClusterState::hold(std::size_t duty) const {
-  const auto epoch = may_act(duty);
-  auto h = duties_.at(duty).hold;
-  if (!epoch || !h) return std::nullopt;
-  if (*epoch != h->epoch && fleet::term_of(*epoch) != fleet::term_of(h->epoch) + 1)
+// Returns the tenure as of the last run, if it still holds.
+std::optional<ClusterState::Tenure> ClusterState::tenure(std::size_t lease) const {
+  const auto term = valid_term(lease);
+  auto tenure = leases_.at(lease).tenure;
+  if (!term || !tenure) return std::nullopt;
+  if (*term != tenure->term && fleet::term_of(*term) != fleet::term_of(tenure->term) + 1)
     return std::nullopt;
-  h->epoch = *epoch;
-  return h;
+  tenure->term = *term;
+  return tenure;
 }
 
-std::optional<Duty::Holder> ClusterState::holder(std::size_t duty) const {
-  const auto& d = duties_.at(duty).duty;
+std::optional<Duty::Holder> ClusterState::holder(std::size_t lease) const {
+  const auto& l = leases_.at(lease).lease;
   const Time now = timers_.now();
-  if (const auto mine = may_act(duty))
-    return Duty::Holder{config_.self, *mine, config_.duties.begins(fleet::term_of(*mine) + 1)};
-  return started_ ? d.known(now) : std::nullopt;
+  if (const auto own_term = valid_term(lease))
+    return Duty::Holder{config_.self, *own_term,
+                        config_.lease.begins(fleet::term_of(*own_term) + 1)};
+  return started_ ? l.known(now) : std::nullopt;
 }
 
 void ClusterState::on_records_written() {
   if (started_) run();
 }
 
-// An answer that comes at once leads back here: it is looked at in the same run.
+// A callback that is called synchronously leads back here: its effects are handled in the same run.
 void ClusterState::run() {
-  again_ = true;
+  rerun_ = true;
   if (running_) return;
   running_ = true;
-  while (std::exchange(again_, false) && started_) move(timers_.now());
+  while (std::exchange(rerun_, false) && started_) advance(timers_.now());
   running_ = false;
-  timers_.cancel(due_);
+  timers_.cancel(timer_);
   if (!started_) return;
-  Time due = records_->next();
-  for (const auto& k : duties_) due = std::min(due, k.duty.next());
+  Time due = store_->next();
+  for (const auto& s : leases_) due = std::min(due, s.lease.next());
   if (due == Time::max()) return;
-  due_ = timers_.at(due, [this] {
-    due_.reset();
+  timer_ = timers_.at(due, [this] {
+    timer_.reset();
     run();
   });
 }
 
-void ClusterState::move(Time now) {
-  for (std::size_t i = 0; i < duties_.size(); ++i) {
-    if (duties_[i].duty.next() <= now) duties_[i].duty.tick(now);
-    carry(i);
-    watch(now, duties_[i]);
+void ClusterState::advance(Time now) {
+  for (std::size_t i = 0; i < leases_.size(); ++i) {
+    if (leases_[i].lease.next() <= now) leases_[i].lease.tick(now);
+    send_outgoing(i);
+    update_tenure(now, leases_[i]);
   }
-  if (records_->next() <= now) records_->tick(now);
+  if (store_->next() <= now) store_->tick(now);
   callbacks_.on_state_changed();
-  for (auto& o : records_->take_outgoing())
-    callbacks_.send_datagram(o.to, std::move(o.body), o.echo);
+  for (auto& o : store_->take_outgoing()) callbacks_.send_datagram(o.to, std::move(o.body), o.echo);
 }
 
-void ClusterState::carry(std::size_t duty) {
-  auto& d = duties_[duty].duty;
-  for (const auto& call : d.take_calls()) write(duty, call);
-  for (auto& w : d.take_words()) callbacks_.send_datagram(w.to, fleet::DutyTell{{w.word}}, 0);
+void ClusterState::send_outgoing(std::size_t lease) {
+  auto& l = leases_[lease].lease;
+  for (const auto& call : l.take_calls()) call_counter(lease, call);
+  for (auto& w : l.take_words()) callbacks_.send_datagram(w.to, fleet::DutyTell{{w.word}}, 0);
 }
 
-// A call waits for those for quotas, but no longer than would cost its term: they go on for ever on
-// a pressed counter.
-void ClusterState::write(std::size_t duty, const Duty::Call& call) {
-  const auto go = [this, alive = alive_, duty, call] {
+// A lease's call is delayed once, by the counter time-out, if quota calls are queued. A longer wait
+// could cost the lease's term, and a loaded counter always has quota calls queued.
+void ClusterState::call_counter(std::size_t lease, const Duty::Call& call) {
+  const auto send = [this, alive = alive_, lease, call] {
     if (!*alive || !started_) return;
     callbacks_.add_to_counter(
         call.name, call.amount, call.life,
-        [this, alive, duty, number = call.number](CounterOutcome outcome, double total) {
+        [this, alive, lease, number = call.number](CounterOutcome outcome, double total) {
           if (!*alive || !started_) return;
-          duties_[duty].duty.answered(timers_.now(), number, outcome, total);
+          leases_[lease].lease.answered(timers_.now(), number, outcome, total);
           run();
         });
   };
-  if (!callbacks_.quota_calls_waiting()) return go();
-  timers_.after(config_.duties.counter_timeout, go);
+  if (!callbacks_.quota_calls_waiting()) return send();
+  timers_.after(config_.lease.counter_timeout, send);
 }
 
-// A term that follows one's own without a gap goes on with it; any other right begins anew.
-void ClusterState::watch(Time now, Kept& k) {
-  const auto epoch = k.duty.may_act(now);
-  const auto in_between = [&] {  // the seam of two terms, in which nobody acts
-    return k.hold &&
-           now < config_.duties.begins(fleet::term_of(k.hold->epoch) + 1) + config_.duties.clocks;
+// A term that follows this node's own without a gap continues the tenure; any other term begins a
+// new one.
+void ClusterState::update_tenure(Time now, LeaseState& state) {
+  const auto term = state.lease.may_act(now);
+  const auto between_terms = [&] {  // the margin between two terms, in which no node may act
+    return state.tenure && now < config_.lease.begins(fleet::term_of(state.tenure->term) + 1) +
+                                     config_.lease.clocks;
   };
-  if (!epoch) {
-    if (k.hold && !in_between()) k.hold.reset();
+  if (!term) {
+    if (state.tenure && !between_terms()) state.tenure.reset();
     return;
   }
-  const bool goes_on = k.hold && (*epoch == k.hold->epoch ||
-                                  (fleet::term_of(*epoch) == fleet::term_of(k.hold->epoch) + 1 &&
-                                   *epoch % fleet::kGifts == 0));
-  if (goes_on) return void(k.hold->epoch = *epoch);
-  k.hold = Hold{*epoch, *epoch, now};
-  log::info("duties", "this node holds " + k.duty.name(), {{"epoch", std::to_string(*epoch)}});
+  const bool continues = state.tenure &&
+                         (*term == state.tenure->term ||
+                          (fleet::term_of(*term) == fleet::term_of(state.tenure->term) + 1 &&
+                           *term % fleet::kGifts == 0));
+  if (continues) return void(state.tenure->term = *term);
+  state.tenure = Tenure{*term, *term, now};
+  log::info("duties", "this node holds " + state.lease.name(), {{"epoch", std::to_string(*term)}});
 }
 
-Duty::Figures ClusterState::duty_figures() const {
+Duty::Figures ClusterState::lease_stats() const {
   Duty::Figures sum;
-  for (const auto& k : duties_) {
-    const auto& f = k.duty.figures();
+  for (const auto& s : leases_) {
+    const auto& f = s.lease.figures();
     sum.claims += f.claims, sum.won += f.won, sum.lost += f.lost;
     sum.calls += f.calls, sum.asks += f.asks, sum.refused += f.refused, sum.timeouts += f.timeouts;
     sum.held += f.held, sum.given += f.given, sum.taken += f.taken;
@@ -296,28 +301,27 @@
   return sum;
 }
 
-std::size_t ClusterState::held() const {
+std::size_t ClusterState::held_lease_count() const {
   const Time now = timers_.now();
   return static_cast<std::size_t>(std::ranges::count_if(
-      duties_, [&](const Kept& k) { return started_ && k.duty.may_act(now).has_value(); }));
+      leases_, [&](const LeaseState& s) { return started_ && s.lease.may_act(now).has_value(); }));
 }
 
 json ClusterState::to_json() const {
-  json duties = json::object();
-  for (std::size_t i = 0; i < duties_.size(); ++i) {
-    json j = {{"wanted", duties_[i].wanted}};
+  json leases = json::object();
+  for (std::size_t i = 0; i < leases_.size(); ++i) {
+    json j = {{"wanted", leases_[i].candidate}};
     if (const auto h = holder(i))
       j["holder"] = fleet::index_of(h->node), j["epoch"] = h->epoch,
-      j["here"] = h->node == config_.self && may_act(i).has_value();
-    duties[duties_[i].duty.name()] = std::move(j);
+      j["here"] = h->node == config_.self && valid_term(i).has_value();
+    leases[leases_[i].lease.name()] = std::move(j);
   }
-  const auto& f = records_->figures();
-  return {{"self", fleet::index_of(config_.self)},
-          {"duties", std::move(duties)},
-          {"records",
-           {{"held", f.records},
-            {"bytes", f.bytes},
-            {"caught_up", records_->caught_up(timers_.now())}}}};
+  const auto& f = store_->figures();
+  return {
+      {"self", fleet::index_of(config_.self)},
+      {"duties", std::move(leases)},
+      {"records",
+       {{"held", f.records}, {"bytes", f.bytes}, {"caught_up", store_->caught_up(timers_.now())}}}};
 }
 
 }  // namespace petrelrail
--- a/src/node/cluster_state.hpp
+++ b/src/node/cluster_state.hpp
@@ -1,6 +1,7 @@
-// What the nodes of a tier share beside quotas: duties and records, carried by the peers' socket
-// and the counter. What is decided is decided in src/fleet/duty and src/fleet/records;
-// docs/duties.md, docs/records.md.
+// State that the edge nodes of a fleet share beside quotas: leader leases and replicated records,
+// carried over the gossip socket and the quota counter. Owned by Coordination, on the thread of the
+// io_context. It connects src/fleet/duty and src/fleet/records, which decide, to timers, datagrams
+// and the counter (docs/duties.md, docs/records.md).
 #pragma once
 
 #include <functional>
@@ -18,9 +19,9 @@
 namespace petrelrail {
 
 struct ClusterStateConfig {
-  fleet::DutyTerms duties;
-  fleet::RecordTerms records;
-  std::vector<std::string> names;  // of the duties, the same at all nodes
+  fleet::DutyTerms lease;
+  fleet::RecordTerms store;
+  std::vector<std::string> lease_names;  // the same at all nodes
   fleet::MemberId self{};
   std::uint8_t zone = 0;
 };
@@ -29,87 +30,91 @@
  public:
   struct Callbacks {
     virtual void send_datagram(fleet::MemberId to, fleet::Body body, std::uint32_t echo) = 0;
-    // Answered once, perhaps at once; never answered where this process ends first.
-    virtual void add_to_counter(const std::string& name, double amount, Duration life,
-                                std::function<void(CounterOutcome, double total)> told) = 0;
-    // Calls for quotas wait for their turn: others go after them.
+    // `on_response` is called once, possibly before this returns, unless this process ends first.
+    virtual void add_to_counter(const std::string& key, double amount, Duration lifetime,
+                                std::function<void(CounterOutcome, double total)> on_response) = 0;
+    // Whether counter calls for quotas are queued; they take precedence over calls for leases.
     virtual bool quota_calls_waiting() const = 0;
-    // Rights, records or outcomes may have changed.
+    // Called when lease terms, records or write outcomes may have changed.
     virtual void on_state_changed() = 0;
 
    protected:
     ~Callbacks() = default;
   };
 
-  // Throws std::invalid_argument for terms that make no sense.
+  // Throws std::invalid_argument for an invalid configuration.
   ClusterState(Timers& timers, const ClusterStateConfig& config, std::uint64_t seed,
-               Callbacks& owner);
+               Callbacks& callbacks);
   ~ClusterState();
   ClusterState(const ClusterState&) = delete;
   ClusterState& operator=(const ClusterState&) = delete;
 
-  // Begins, with what a predecessor in the same node's place has left, if anything. Throws if that
-  // can't be read.
+  // Starts, with the state exported by the predecessor process of this node, if any. Throws, and
+  // applies nothing, if that can't be parsed.
   void start(const nlohmann::json* predecessor);
   bool started() const { return started_; }
   void on_view_changed(const fleet::View& view);
-  // A datagram of a kind that is not members' own.
+  // Called with each datagram of a kind that the membership protocol does not handle.
   void on_message(fleet::MemberId from, const fleet::Message& message);
-  // This node leaves: what it holds is given on. `resigned` once nothing is left to give.
+  // Called when this node leaves: transfers its leases to other nodes.
   void step_down();
+  // Whether no lease is left to transfer.
   bool has_stepped_down() const;
-  // What a successor in this node's place goes on with. This process does nothing more.
+  // Returns the state for the successor process of this node. This process does nothing afterwards.
   nlohmann::json export_state();
 
-  // `duty` is a position in the configuration's names.
-  void want(std::size_t duty, bool wanted);
-  std::optional<fleet::Epoch> may_act(std::size_t duty) const;
-  // The first of the epochs under which this node has held the duty without a gap until now, and
-  // since when.
-  struct Hold {
-    fleet::Epoch epoch = 0, since = 0;
-    Time began{};
+  // `lease`: an index into the configuration's names, here and below.
+  void set_candidate(std::size_t lease, bool candidate);
+  // The term under which this node may act now; none: it must not act.
+  std::optional<fleet::Epoch> valid_term(std::size_t lease) const;
+  // An uninterrupted period of holding a lease: its present and its first term, and when it began.
+  struct Tenure {
+    fleet::Epoch term = 0, first_term = 0;
+    Time start_time{};
   };
-  std::optional<Hold> hold(std::size_t duty) const;
-  std::optional<fleet::Duty::Holder> holder(std::size_t duty) const;
-  // Who claims the duty first if it is wanted there.
-  std::optional<fleet::MemberId> expected(std::size_t duty) const {
-    return duties_.at(duty).duty.expected();
+  std::optional<Tenure> tenure(std::size_t lease) const;
+  // The holder of the present term as far as this node knows.
+  std::optional<fleet::Duty::Holder> holder(std::size_t lease) const;
+  // The node that claims the lease first if it is a candidate.
+  std::optional<fleet::MemberId> expected_holder(std::size_t lease) const {
+    return leases_.at(lease).lease.expected();
   }
-  // Changes to records go through here, so that what is to be told goes out.
-  fleet::Records& records() { return *records_; }
-  void on_records_written();  // after a put or an erase
+  // For writing; on_records_written() has to be called after a put or an erase, to send it out.
+  fleet::Records& mutable_store() { return *store_; }
+  void on_records_written();
 
   const ClusterStateConfig& config() const { return config_; }
-  const fleet::Records* kept() const { return records_.get(); }
-  fleet::Duty::Figures duty_figures() const;  // summed over all duties
-  std::size_t held() const;                   // duties that this node may act under now
-  // For operators: each duty that is held or known of, and what the records hold.
+  const fleet::Records* store() const { return store_.get(); }
+  // Summed over all leases.
+  fleet::Duty::Figures lease_stats() const;
+  // The number of leases under which this node may act now.
+  std::size_t held_lease_count() const;
+  // The state for operators: each lease with its known holder, and the size of the store.
   nlohmann::json to_json() const;
 
  private:
-  struct Kept {
-    fleet::Duty duty;
-    std::optional<Hold> hold;
-    bool wanted = false;
+  struct LeaseState {
+    fleet::Duty lease;
+    std::optional<Tenure> tenure;
+    bool candidate = false;
   };
 
   void run();
-  void move(Time now);
-  void carry(std::size_t duty);
-  void write(std::size_t duty, const fleet::Duty::Call& call);
-  void watch(Time now, Kept& k);
+  void advance(Time now);
+  void send_outgoing(std::size_t lease);
+  void call_counter(std::size_t lease, const fleet::Duty::Call& call);
+  void update_tenure(Time now, LeaseState& state);
 
   Timers& timers_;
   const ClusterStateConfig config_;
   Callbacks& callbacks_;
-  std::vector<Kept> duties_;
-  std::unique_ptr<fleet::Records> records_;
-  std::map<std::uint32_t, std::size_t> by_hash_;
-  Timers::Handle due_;
-  bool started_ = false, running_ = false, again_ = false;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(
-      true);  // for answers that come after this object
+  std::vector<LeaseState> leases_;
+  std::unique_ptr<fleet::Records> store_;
+  std::map<std::uint32_t, std::size_t> lease_by_hash_;
+  Timers::Handle timer_;
+  bool started_ = false, running_ = false, rerun_ = false;
+  // False after destruction, for callbacks that outlive this object.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace petrelrail
--- a/src/node/connection_pool.cpp
+++ b/src/node/connection_pool.cpp
@@ -16,25 +16,26 @@
   return idle_.empty() ? Time::max() : idle_.front()->idle_since();
 }
 
-void ConnectionPool::set_address(const Tcp::endpoint& address, std::optional<Time> started) {
-  const bool moved = address != address_;
-  const bool began_anew = started && (!started_ || *started > *started_);
+void ConnectionPool::set_address(const Tcp::endpoint& address, std::optional<Time> start_time) {
+  const bool address_changed = address != address_;
+  const bool restarted = start_time && (!start_time_ || *start_time > *start_time_);
   address_ = address;
-  if (began_anew) started_ = started;
-  if (!moved && !began_anew) return;
+  if (restarted) start_time_ = start_time;
+  if (!address_changed && !restarted) return;
   ++incarnation_;
-  min_idle_time_until_ = {};
+  min_idle_time_deadline_ = {};
   close_all_idle();
 }
 
 ConnectionPool::Connection ConnectionPool::acquire(Time now, Duration limit) {
   while (!idle_.empty()) {
-    const bool must_rest = now < min_idle_time_until_;
-    const Time before = now - (must_rest ? min_idle_time_ : facts::kRest);
-    const auto end = std::ranges::upper_bound(idle_, before, {}, &UpstreamConnection::idle_since);
-    const auto rested = static_cast<std::size_t>(end - idle_.begin());
-    if (must_rest && rested == 0) break;
-    const auto at = rested == 0 ? 0 : rested - 1;
+    const bool requires_min_idle = now < min_idle_time_deadline_;
+    const Time latest_idle_start = now - (requires_min_idle ? min_idle_time_ : facts::kRest);
+    const auto end = std::ranges::upper_bound(idle_, latest_idle_start, {},
+                                              &UpstreamConnection::idle_since);
+    const auto rested_count = static_cast<std::size_t>(end - idle_.begin());
+    if (requires_min_idle && rested_count == 0) break;
+    const auto at = rested_count == 0 ? 0 : rested_count - 1;
     if (now - idle_[at]->idle_since() < limit && idle_[at]->is_usable()) {
       auto c = remove_idle_at(at);
       busy_.push_back(c);
@@ -73,19 +74,19 @@
 }
 
 std::size_t ConnectionPool::release_idle(std::size_t keep) {
-  std::size_t n = 0;
-  for (; idle_.size() > keep; ++n) {
+  std::size_t closed_count = 0;
+  for (; idle_.size() > keep; ++closed_count) {
     const auto c = idle_.front();
     c->close(AttemptOutcome::reset, AttemptEndReason::cancelled);
   }
-  stats_.released += n;
-  return n;
+  stats_.released += closed_count;
+  return closed_count;
 }
 
 void ConnectionPool::on_unsolicited_data(Time now, Time since) {
-  if (now >= min_idle_time_until_) min_idle_time_ = facts::kRestOutOfTurn;
+  if (now >= min_idle_time_deadline_) min_idle_time_ = facts::kRestOutOfTurn;
   min_idle_time_ = std::min(std::max(min_idle_time_, 2 * (now - since)), facts::kLongestRest);
-  min_idle_time_until_ = now + facts::kOutOfTurnKept;
+  min_idle_time_deadline_ = now + facts::kOutOfTurnKept;
 }
 
 void ConnectionPool::close_all_idle() {
@@ -101,15 +102,15 @@
   while (!idle_.empty() && now - idle_.front()->idle_since() >= limit) close_idle_at(0);
 }
 
-ConnectionPool::Connection ConnectionPool::remove_idle_at(std::size_t at) {
-  auto c = std::move(idle_[at]);
-  idle_.erase(idle_.begin() + static_cast<std::ptrdiff_t>(at));
+ConnectionPool::Connection ConnectionPool::remove_idle_at(std::size_t index) {
+  auto c = std::move(idle_[index]);
+  idle_.erase(idle_.begin() + static_cast<std::ptrdiff_t>(index));
   --stats_.idle;
   return c;
 }
 
-void ConnectionPool::close_idle_at(std::size_t at) {
-  const auto c = idle_[at];
+void ConnectionPool::close_idle_at(std::size_t index) {
+  const auto c = idle_[index];
   ++stats_.stale_drops;
   c->close(AttemptOutcome::reset, AttemptEndReason::cancelled);
 }
--- a/src/node/connection_pool.hpp
+++ b/src/node/connection_pool.hpp
@@ -1,6 +1,6 @@
-// The connections to one price server: which idle, which are busy, which may be used again. What
-// travels on them is the attempts' business (`upstream`); how many there may be and to whom is the
-// module's.
+// Keeps the connections to one price server: which are idle, which are busy, and which may be used
+// again. Used by Upstream on the thread of the io_context. It neither runs exchanges
+// (UpstreamConnection does) nor decides how many connections there may be (Gateway does).
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,26 @@
 
 class UpstreamConnection;
 
-// What the pools of all servers share: the room for connections, and the figures that operators
-// fetch.
+// Shared by the pools of all price servers: the number of open connections, which is limited, and
+// the values for /metrics.
 struct PoolStats {
   std::size_t open = 0, idle = 0, connecting = 0;
-  std::uint64_t handshakes = 0;   // connects begun
-  std::uint64_t reuses = 0;       // attempts begun on a connection that idled
-  std::uint64_t stale_drops = 0;  // idle ones that were dead, silent, too old or of a former life
-  std::uint64_t released = 0;     // idle ones let go for others, or for want of descriptors
-  std::uint64_t failed_connects = 0;  // refused, never came up, or broken before the first byte
+  std::uint64_t handshakes = 0;       // connects started
+  std::uint64_t reuses = 0;           // attempts started on an idle connection
+  std::uint64_t stale_drops = 0;      // idle connections closed as dead, expired or of a former
+                                      // incarnation, or as their server is silent
+  std::uint64_t released = 0;         // idle connections closed to free capacity or descriptors
+  std::uint64_t failed_connects = 0;  // refused, timed out, or broken before the first byte
 };
 
 class ConnectionPool {
  public:
   using Connection = std::shared_ptr<UpstreamConnection>;
-  // A life of the server: at one address, from one start. A connection belongs to the life it was
-  // opened in.
+  // Counts the incarnations of the server: each new address or later start time begins another. A
+  // connection belongs to the incarnation that it was opened in.
   using ServerIncarnation = std::uint64_t;
 
-  ConnectionPool(EndpointId server, PoolStats& figures) : endpoint_(server), stats_(figures) {}
+  ConnectionPool(EndpointId server, PoolStats& stats) : endpoint_(server), stats_(stats) {}
   ~ConnectionPool();
   ConnectionPool(const ConnectionPool&) = delete;
   ConnectionPool& operator=(const ConnectionPool&) = delete;
@@ -42,49 +43,55 @@
   std::size_t busy() const { return busy_.size(); }
   bool empty() const { return idle_.empty() && busy_.empty(); }
   ServerIncarnation incarnation() const { return incarnation_; }
-  // When the one that has idled longest began to, or the end of time.
+  // Since when the longest idle connection has been idle; Time::max() if none is idle.
   Time idle_since() const;
 
-  // What discovery says. At another address or after another start, connections of before are of no
-  // use: those that idle go at once, busy ones with their answer.
-  void set_address(const Tcp::endpoint& address, std::optional<Time> started);
-  // A sound connection that idles, or none: of those that have rested the one used last, else the
-  // one that has rested longest, so that a second answer to the request before finds no other one
-  // out. What has idled for `limit`, was closed by the other end or shows bytes that nobody asked
-  // for is dropped on the way.
+  // Applies discovery's address and start time. If the address changes or the start time advances,
+  // connections of the former incarnation are closed: idle ones at once, busy ones after their
+  // response.
+  void set_address(const Tcp::endpoint& address, std::optional<Time> start_time);
+  // Returns a usable idle connection and marks it busy, or null. Prefers the most recently used
+  // connection that has been idle for a short minimum time, so that a second response to its former
+  // request is noticed before reuse; if none has, takes the longest idle one, but none at all for
+  // some time after unsolicited data. Connections that have been idle for `limit`, were closed by
+  // the server or received unsolicited data are closed on the way.
   Connection acquire(Time now, Duration limit);
-  void on_connecting(const Connection& c);            // a connect to this server begins
-  void on_connected();                                // one of them is up
-  void return_idle(const Connection& c);              // it has become idle
-  void remove(const Connection& c, bool connecting);  // it has ended
-  // Idle ones beyond `keep` go, the one that has idled longest first. As many as were let go.
+  // Called when a connect to this server starts.
+  void on_connecting(const Connection& c);
+  // Called when a connection is established.
+  void on_connected();
+  // Puts a busy connection back among the idle ones.
+  void return_idle(const Connection& c);
+  // Removes a connection that was closed. `connecting`: it was not established yet.
+  void remove(const Connection& c, bool connecting);
+  // Closes the longest idle connections until at most `keep` are idle. Returns how many it closed.
   std::size_t release_idle(std::size_t keep);
-  // The server has sent what nobody asked for, on a connection that idled since. For some time its
-  // connections must have rested before they are used again.
+  // Called when the server has sent unsolicited data on a connection that has been idle since
+  // `since`. For some time its connections must then be idle for a minimum time before reuse.
   void on_unsolicited_data(Time now, Time since);
-  void close_all_idle();                 // all that idle
-  void close_idle(const Connection& c);  // one of them
+  void close_all_idle();
+  void close_idle(const Connection& c);
   void on_connect_failed() { ++stats_.failed_connects; }
-  void close_expired(Time now, Duration limit);  // those that have idled for so long
-  void on_data_received() {
-    ++receive_count_;
-  }  // something came from the server, on whatever connection
+  // Closes connections that have been idle for `limit`.
+  void close_expired(Time now, Duration limit);
+  // Called when data arrives from the server on any connection.
+  void on_data_received() { ++receive_count_; }
   std::uint64_t receive_count() const { return receive_count_; }
   const std::vector<Connection>& in_use() const { return busy_; }
 
  private:
-  Connection remove_idle_at(std::size_t at);
-  void close_idle_at(std::size_t at);
+  Connection remove_idle_at(std::size_t index);
+  void close_idle_at(std::size_t index);
 
   EndpointId endpoint_;
   PoolStats& stats_;
   Tcp::endpoint address_;
-  std::optional<Time> started_;
+  std::optional<Time> start_time_;
   ServerIncarnation incarnation_ = 0;
   std::uint64_t receive_count_ = 0;
-  Duration min_idle_time_{};
-  Time min_idle_time_until_{};
-  std::vector<Connection> idle_;  // the one used last at the back
+  Duration min_idle_time_{};  // before reuse, until the deadline below
+  Time min_idle_time_deadline_{};
+  std::vector<Connection> idle_;  // ordered by the time of their last use, the latest last
   std::vector<Connection> busy_;
 };
 
--- a/src/node/coordination.cpp
+++ b/src/node/coordination.cpp
@@ -5,24 +5,24 @@
 namespace petrelrail {
 namespace {
 
-constexpr std::uint8_t
-    kAddresses{};  // space of records, the first: where each node's operators call
-
-ClusterStateConfig with_duties(const CoordinationConfig& c) {
-  auto s = c.shared;
-  if (c.jobs)
-    for (auto& name : JobService::duties()) s.names.push_back(std::move(name));
-  return s;
+constexpr std::uint8_t kAdminAddressSpace{};  // record space with the admin addresses of all nodes
+
+ClusterStateConfig with_lease_names(const CoordinationConfig& config) {
+  auto state_config = config.cluster_state;
+  if (config.jobs)
+    for (auto& name : JobService::lease_names())
+      state_config.lease_names.push_back(std::move(name));
+  return state_config;
 }
 
 }  // namespace
 
 Coordination::Coordination(Timers& timers, const CoordinationConfig& config, std::uint64_t seed,
-                           Callbacks& host)
+                           Callbacks& callbacks)
     : timers_(timers),
       config_(config),
-      callbacks_(host),
-      cluster_state_(timers, with_duties(config), seed, *this) {
+      callbacks_(callbacks),
+      cluster_state_(timers, with_lease_names(config), seed, *this) {
   if (config_.jobs)
     jobs_ = std::make_unique<JobService>(timers_, cluster_state_, 0,
                                          static_cast<JobService::Callbacks&>(*this));
@@ -34,23 +34,24 @@
   try {
     cluster_state_.start(predecessor);
   } catch (const std::exception& x) {
-    log::warning("duties", "what a predecessor left can't be read", {{"why", x.what()}});
+    log::warning("duties", "the predecessor's cluster state can't be read", {{"why", x.what()}});
     cluster_state_.start(nullptr);
   }
   publish_address();
 }
 
-// Told anew before it ends: nobody else writes this node's, so an epoch of the clock's term is its
-// own.
+// Writes this node's admin address to its record and renews it before the record expires. No other
+// node writes this record, so the term of the present time serves as the writer's term.
 void Coordination::publish_address() {
   timers_.cancel(address_timer_);
-  if (config_.control.empty() || !cluster_state_.started()) return;
+  if (config_.admin_address.empty() || !cluster_state_.started()) return;
   const Time now = timers_.now();
-  const auto ends = std::chrono::ceil<std::chrono::seconds>(
+  const auto expiry = std::chrono::ceil<std::chrono::seconds>(
       (now + 2 * facts::kAddressInterval).time_since_epoch());
-  cluster_state_.records().put(now, {kAddresses, fleet::index_of(config_.shared.self)},
-                               config_.shared.duties.term_at(now) * fleet::kGifts,
-                               static_cast<std::uint32_t>(ends.count()), config_.control);
+  cluster_state_.mutable_store().put(
+      now, {kAdminAddressSpace, fleet::index_of(config_.cluster_state.self)},
+      config_.cluster_state.lease.term_at(now) * fleet::kGifts,
+      static_cast<std::uint32_t>(expiry.count()), config_.admin_address);
   cluster_state_.on_records_written();
   address_timer_ = timers_.after(facts::kAddressInterval, [this] {
     address_timer_.reset();
@@ -59,21 +60,21 @@
 }
 
 std::optional<std::string> Coordination::admin_address_of(fleet::MemberId node) const {
-  const auto* r = cluster_state_.kept()->find({kAddresses, fleet::index_of(node)});
-  return r != nullptr ? std::optional(r->value) : std::nullopt;
+  const auto* record = cluster_state_.store()->find({kAdminAddressSpace, fleet::index_of(node)});
+  return record != nullptr ? std::optional(record->value) : std::nullopt;
 }
 
-bool Coordination::on_admin_request(const AdminServer::AdminRequest& ask,
-                                    const AdminServer::AdminCallback& answered) {
-  if (ask.path == "/duties") {
-    if (ask.method != "GET")
-      answered(
+bool Coordination::on_admin_request(const AdminServer::AdminRequest& request,
+                                    const AdminServer::AdminCallback& on_response) {
+  if (request.path == "/duties") {
+    if (request.method != "GET")
+      on_response(
           {405, "the method does not go with the path\n", "text/plain; charset=utf-8", "GET", {}});
     else
-      answered({200, cluster_state_.to_json().dump() + "\n", "application/json", {}, {}});
+      on_response({200, cluster_state_.to_json().dump() + "\n", "application/json", {}, {}});
     return true;
   }
-  return jobs_ && jobs_->on_admin_request(ask, answered);
+  return jobs_ && jobs_->on_admin_request(request, on_response);
 }
 
 void Coordination::step_down() {
@@ -90,9 +91,9 @@
   callbacks_.send_datagram(to, std::move(body), echo);
 }
 
-void Coordination::add_to_counter(const std::string& name, double amount, Duration life,
-                                  std::function<void(CounterOutcome, double total)> told) {
-  callbacks_.add_to_counter(name, amount, life, std::move(told));
+void Coordination::add_to_counter(const std::string& key, double amount, Duration lifetime,
+                                  std::function<void(CounterOutcome, double total)> on_response) {
+  callbacks_.add_to_counter(key, amount, lifetime, std::move(on_response));
 }
 
 void Coordination::send_request(ClientRequest request, std::shared_ptr<ResponseSink> sink) {
@@ -100,13 +101,13 @@
 }
 
 void Coordination::on_state_changed() {
-  auto& records = cluster_state_.records();
-  for (const auto& o : records.take_outcomes())
+  auto& store = cluster_state_.mutable_store();
+  for (const auto& o : store.take_outcomes())
     if (jobs_) jobs_->on_record_outcome(o);
-  const auto changes = records.take_changes();
-  bool of_jobs = changes.rescan;
-  for (const auto& key : changes.keys) of_jobs = of_jobs || key.space == fleet::kJobSpace;
-  if (jobs_) jobs_->on_state_changed(of_jobs);
+  const auto changes = store.take_changes();
+  bool jobs_changed = changes.rescan;
+  for (const auto& key : changes.keys) jobs_changed = jobs_changed || key.space == fleet::kJobSpace;
+  if (jobs_) jobs_->on_state_changed(jobs_changed);
 }
 
 }  // namespace petrelrail
--- a/src/node/coordination.hpp
+++ b/src/node/coordination.hpp
@@ -1,5 +1,6 @@
-// What the nodes of a tier do together beside keeping quotas, as one part of the node: duties and
-// records, and the desks that stand on them. Off it is not there.
+// Coordination between edge nodes beside quotas, as one optional part of the node: cluster state
+// (leader leases and replicated records) and the batch job service that uses it. Owned by Node, on
+// the thread of the io_context; absent if the configuration turns it off.
 #pragma once
 
 #include <functional>
@@ -14,17 +15,18 @@
 namespace petrelrail {
 
 struct CoordinationConfig {
-  ClusterStateConfig shared;  // its names are filled in by what is on
+  ClusterStateConfig cluster_state;  // its lease names are filled in by Coordination
   bool jobs = false;
-  std::string control;  // where this node's operators call; empty: nobody can
+  std::string admin_address;  // of this node's admin server; empty: it has none
 };
 
 class Coordination : private ClusterState::Callbacks, private JobService::Callbacks {
  public:
+  // See ClusterState::Callbacks and JobService::Callbacks.
   struct Callbacks {
     virtual void send_datagram(fleet::MemberId to, fleet::Body body, std::uint32_t echo) = 0;
-    virtual void add_to_counter(const std::string& name, double amount, Duration life,
-                                std::function<void(CounterOutcome, double total)> told) = 0;
+    virtual void add_to_counter(const std::string& key, double amount, Duration lifetime,
+                                std::function<void(CounterOutcome, double total)> on_response) = 0;
     virtual bool quota_calls_waiting() const = 0;
     virtual void send_request(ClientRequest request, std::shared_ptr<ResponseSink> sink) = 0;
     virtual std::uint32_t best_effort_capacity() = 0;
@@ -35,29 +37,33 @@
   };
 
   Coordination(Timers& timers, const CoordinationConfig& config, std::uint64_t seed,
-               Callbacks& host);
+               Callbacks& callbacks);
   ~Coordination();
 
-  // With what leave() of a predecessor gave; what can't be read of it is left out, and said.
+  // Starts with what export_state() of a predecessor process returned; null: without. State that
+  // can't be parsed is logged and left out.
   void start(const nlohmann::json* predecessor);
   void on_view_changed(const fleet::View& view) { cluster_state_.on_view_changed(view); }
   void on_message(fleet::MemberId from, const fleet::Message& message) {
     cluster_state_.on_message(from, message);
   }
-  bool on_admin_request(const AdminServer::AdminRequest& ask,
-                        const AdminServer::AdminCallback& answered);
-  // This node ends soon: it takes up nothing more and gives its duties on.
+  // Handles a request to the admin server. Returns false if the path belongs to no part of this.
+  bool on_admin_request(const AdminServer::AdminRequest& request,
+                        const AdminServer::AdminCallback& on_response);
+  // Called before this process ends: starts no new work and transfers the leases.
   void step_down();
   bool has_stepped_down() const { return cluster_state_.has_stepped_down(); }
+  // Returns the state for the successor process of this node, and stops.
   nlohmann::json export_state();
 
   const ClusterState& cluster_state() const { return cluster_state_; }
+  // Null if jobs are off.
   const JobService* jobs() const { return jobs_.get(); }
 
  private:
   void send_datagram(fleet::MemberId to, fleet::Body body, std::uint32_t echo) override;
-  void add_to_counter(const std::string& name, double amount, Duration life,
-                      std::function<void(CounterOutcome, double total)> told) override;
+  void add_to_counter(const std::string& key, double amount, Duration lifetime,
+                      std::function<void(CounterOutcome, double total)> on_response) override;
   bool quota_calls_waiting() const override { return callbacks_.quota_calls_waiting(); }
   void on_state_changed() override;
   void send_request(ClientRequest request, std::shared_ptr<ResponseSink> sink) override;
--- a/src/node/counter_client.cpp
+++ b/src/node/counter_client.cpp
@@ -14,288 +14,303 @@
 
 class CounterClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(asio::io_context& io, Timers& timers, const Tcp::endpoint& at, Duration timeout,
-             ResponseCallback told, RecoveredCallback heard, std::uint64_t seed)
+  Connection(asio::io_context& io, Timers& timers, const Tcp::endpoint& address, Duration timeout,
+             ResponseCallback on_response, RecoveredCallback on_recovered, std::uint64_t seed)
       : timers_(timers),
-        at_(at),
+        address_(address),
         timeout_(timeout),
-        told_(std::move(told)),
-        heard_again_(std::move(heard)),
+        on_response_(std::move(on_response)),
+        on_recovered_(std::move(on_recovered)),
         socket_(io.get_executor()),
         random_(seed) {}
 
-  bool tried() const { return tried_; }
+  bool has_tried() const { return has_tried_; }
 
   void connect() {
-    stage_ = Stage::connecting;
-    const auto number = ++life_;
-    // Soon: one that was lost with its machine says nothing, and a connection never comes up.
-    guard_ = timers_.after(facts::kCounterConnect * timeout_, [self = shared_from_this()] {
-      self->guard_.reset();
-      self->lose();
+    state_ = State::connecting;
+    const auto number = ++connection_number_;
+    // A counter whose machine is lost sends nothing, so the connection attempt itself needs a
+    // time-out.
+    timer_ = timers_.after(facts::kCounterConnect * timeout_, [self = shared_from_this()] {
+      self->timer_.reset();
+      self->on_connection_lost();
     });
-    socket_.async_connect(at_, [self = shared_from_this(), number](const error_code& failed) {
-      if (number != self->life_ || self->stage_ != Stage::connecting) return;
-      if (failed) return self->lose();
-      self->tried_ = true;
-      self->timers_.cancel(self->guard_);
-      self->stage_ = Stage::up;
-      self->text_.clear();
-      self->heard_ = self->timers_.now();
+    socket_.async_connect(address_, [self = shared_from_this(), number](const error_code& failed) {
+      if (number != self->connection_number_ || self->state_ != State::connecting) return;
+      if (failed) return self->on_connection_lost();
+      self->has_tried_ = true;
+      self->timers_.cancel(self->timer_);
+      self->state_ = State::up;
+      self->input_.clear();
+      self->last_received_time_ = self->timers_.now();
       set_no_delay(self->socket_);
       self->read();
-      if (self->silent_) self->ping();
+      if (self->unresponsive_) self->ping();
       self->flush();
-      self->watch();
+      self->check_liveness();
     });
   }
 
   void stop() {
-    stage_ = Stage::stopped;
-    timers_.cancel(guard_);
-    for (auto* calls : {&waiting_, &sent_})
-      for (auto& c : *calls) timers_.cancel(c.limit);
+    state_ = State::stopped;
+    timers_.cancel(timer_);
+    for (auto* calls : {&unsent_, &sent_})
+      for (auto& c : *calls) timers_.cancel(c.timer);
     close_now(socket_);
   }
 
-  void add(CounterKey name, double amount, Duration lifetime) {
-    if (stage_ == Stage::down) return told_({name, CounterOutcome::refused, 0, {}});
+  void add(CounterKey key, double amount, Duration lifetime) {
+    if (state_ == State::down) return on_response_({key, CounterOutcome::refused, 0, {}});
     std::array<char, sizeof "18446744073709551615"> digits{};
     const auto end = std::to_chars(digits.data(), digits.data() + digits.size(),
-                                   static_cast<std::uint64_t>(name))
+                                   static_cast<std::uint64_t>(key))
                          .ptr;
     Call c;
-    c.name = name;
-    ask(std::move(c), {digits.data(), end}, amount, lifetime);
+    c.key = key;
+    enqueue(std::move(c), {digits.data(), end}, amount, lifetime);
   }
 
-  void call(std::string_view name, double amount, Duration lifetime, CallCallback told) {
-    if (stage_ == Stage::down) return told(CounterOutcome::refused, 0);
+  void call(std::string_view key, double amount, Duration lifetime, CallCallback on_response) {
+    if (state_ == State::down) return on_response(CounterOutcome::refused, 0);
     Call c;
-    c.other = std::move(told);
-    ask(std::move(c), name, amount, lifetime);
+    c.callback = std::move(on_response);
+    enqueue(std::move(c), key, amount, lifetime);
   }
 
  private:
-  enum class Stage { connecting, up, down, stopped };
+  enum class State { connecting, up, down, stopped };
   struct Call {
     std::uint64_t number = 0;
-    CounterKey name{};
-    Time began{};
+    CounterKey key{};
+    Time start_time{};
     std::string line;
-    CallCallback other;  // whom it is for; none: quotas
+    CallCallback callback;  // of call(); empty for quota calls
     bool ping = false;
-    bool told = false;  // its caller has an answer; what comes now is only consumed
-    std::size_t
-        end = 0;  // where its last byte stands in the text that is being written; 0: written
-    Timers::Handle limit;
+    bool completed = false;  // its caller was called back; the counter's response is only consumed
+    std::size_t end = 0;     // offset behind its last byte in the pending write; 0: written
+    Timers::Handle timer;
   };
 
-  void ask(Call c, std::string_view name, double amount, Duration lifetime) {
-    c.number = ++calls_, c.began = timers_.now();
+  void enqueue(Call c, std::string_view key, double amount, Duration lifetime) {
+    c.number = ++last_call_number_, c.start_time = timers_.now();
     std::array<char, 128> line{};
-    const auto life = std::chrono::ceil<std::chrono::milliseconds>(lifetime).count();
-    const int n = std::snprintf(line.data(), line.size(), "incr %.*s %.9g %lld\r\n",
-                                static_cast<int>(name.size()), name.data(), amount,
-                                static_cast<long long>(std::max<decltype(life)>(life, 1)));
+    const auto lifetime_ms = std::chrono::ceil<std::chrono::milliseconds>(lifetime).count();
+    const int n = std::snprintf(
+        line.data(), line.size(), "incr %.*s %.9g %lld\r\n", static_cast<int>(key.size()),
+        key.data(), amount,
+        static_cast<long long>(std::max<decltype(lifetime_ms)>(lifetime_ms, 1)));
     c.line.assign(line.data(), static_cast<std::size_t>(n));
-    c.limit = timers_.after(
-        patience(), [self = shared_from_this(), number = c.number] { self->overdue(number); });
-    waiting_.push_back(std::move(c));
+    c.timer = timers_.after(call_timeout(), [self = shared_from_this(), number = c.number] {
+      self->on_call_timeout(number);
+    });
+    unsent_.push_back(std::move(c));
     flush();
   }
 
-  // The counter sets its callers no time-out, and a late answer is as true as any. Where even the
-  // quickest of late takes longer than the settings' time, it is slow by nature: calls are given up
-  // after half as long again.
-  Duration patience() const {
-    return std::clamp(usual_ + usual_ / 2, timeout_, facts::kCounterConnect * timeout_);
+  // Time after which a call is given up. The counter imposes no time-out, and a late response is as
+  // valid as any. If even the fastest recent responses take longer than the configured timeout, the
+  // counter is slow by nature, and calls are given up after the typical latency and half of it
+  // again.
+  Duration call_timeout() const {
+    return std::clamp(typical_latency_ + typical_latency_ / 2, timeout_,
+                      facts::kCounterConnect * timeout_);
   }
-  void learn(Duration took) {
-    usual_ = usual_ == Duration{} || took < usual_ ? took
-                                                   : usual_ + (took - usual_) / facts::kUsualRise;
+  void update_typical_latency(Duration latency) {
+    typical_latency_ = typical_latency_ == Duration{} || latency < typical_latency_
+                           ? latency
+                           : typical_latency_ + (latency - typical_latency_) / facts::kUsualRise;
   }
 
-  void tell(Call& c, CounterOutcome outcome, double total = 0) {
-    timers_.cancel(c.limit);
-    if (std::exchange(c.told, true) || c.ping) return;
-    if (const auto other = std::move(c.other)) return other(outcome, total);
-    told_({c.name, outcome, total, timers_.now() - c.began});
+  void complete(Call& c, CounterOutcome outcome, double total = 0) {
+    timers_.cancel(c.timer);
+    if (std::exchange(c.completed, true) || c.ping) return;
+    if (const auto callback = std::move(c.callback)) return callback(outcome, total);
+    on_response_({c.key, outcome, total, timers_.now() - c.start_time});
   }
 
-  // A call that was not written is taken back; of one that was, nobody knows.
-  void overdue(std::uint64_t number) {
-    if (const auto it = std::ranges::find(waiting_, number, &Call::number); it != waiting_.end()) {
+  // A call that was not written yet is withdrawn and counts as refused; whether one that was
+  // written took effect is unknown.
+  void on_call_timeout(std::uint64_t number) {
+    if (const auto it = std::ranges::find(unsent_, number, &Call::number); it != unsent_.end()) {
       Call c = std::move(*it);
-      waiting_.erase(it);
-      c.limit.reset();
-      return tell(c, CounterOutcome::refused);
+      unsent_.erase(it);
+      c.timer.reset();
+      return complete(c, CounterOutcome::refused);
     }
     const auto it = std::ranges::find(sent_, number, &Call::number);
     if (it == sent_.end()) return;
-    it->limit.reset();
-    silent_ = true;
-    tell(*it, CounterOutcome::timeout);
+    it->timer.reset();
+    unresponsive_ = true;
+    complete(*it, CounterOutcome::timeout);
   }
 
-  // Costs the counter nothing, and tells whether it is there.
+  // Sends a ping, which costs the counter nothing and shows whether it responds.
   void ping() {
     Call c;
-    c.ping = true, c.number = ++calls_, c.began = timers_.now(), c.line = "ping\r\n";
-    waiting_.push_back(std::move(c));
+    c.ping = true, c.number = ++last_call_number_, c.start_time = timers_.now(),
+    c.line = "ping\r\n";
+    unsent_.push_back(std::move(c));
     flush();
   }
 
   void flush() {
-    if (stage_ != Stage::up || !writing_.empty() || waiting_.empty()) return;
-    for (auto& c : waiting_) {
-      writing_ += c.line;
-      c.end = writing_.size();
+    if (state_ != State::up || !write_buffer_.empty() || unsent_.empty()) return;
+    for (auto& c : unsent_) {
+      write_buffer_ += c.line;
+      c.end = write_buffer_.size();
       c.line.clear();
       sent_.push_back(std::move(c));
     }
-    waiting_.clear();
-    asio::async_write(
-        socket_, asio::buffer(writing_),
-        [self = shared_from_this(), number = life_](const error_code& failed, std::size_t bytes) {
-          if (number != self->life_) return;
-          for (auto& c : self->sent_)
-            if (c.end <= bytes) c.end = 0;
-          self->writing_.clear();
-          if (self->stage_ != Stage::up) return;
-          if (failed) return self->lose(true);
-          self->flush();
-        });
+    unsent_.clear();
+    asio::async_write(socket_, asio::buffer(write_buffer_),
+                      [self = shared_from_this(), number = connection_number_](
+                          const error_code& failed, std::size_t bytes) {
+                        if (number != self->connection_number_) return;
+                        for (auto& c : self->sent_)
+                          if (c.end <= bytes) c.end = 0;
+                        self->write_buffer_.clear();
+                        if (self->state_ != State::up) return;
+                        if (failed) return self->on_connection_lost(true);
+                        self->flush();
+                      });
   }
 
   void read() {
-    socket_.async_read_some(asio::buffer(space_), [self = shared_from_this(), number = life_](
-                                                      const error_code& failed, std::size_t bytes) {
-      if (number != self->life_ || self->stage_ != Stage::up) return;
-      if (failed) return self->lose();
-      self->text_.append(self->space_.data(), bytes);
-      self->heard_ = self->timers_.now();
-      if (!self->take_lines()) return self->lose();
-      self->read();
-    });
+    socket_.async_read_some(asio::buffer(read_buffer_),
+                            [self = shared_from_this(), number = connection_number_](
+                                const error_code& failed, std::size_t bytes) {
+                              if (number != self->connection_number_ || self->state_ != State::up)
+                                return;
+                              if (failed) return self->on_connection_lost();
+                              self->input_.append(self->read_buffer_.data(), bytes);
+                              self->last_received_time_ = self->timers_.now();
+                              if (!self->process_lines()) return self->on_connection_lost();
+                              self->read();
+                            });
   }
 
-  // False if what came is no answer to what was asked: nothing on this connection can be trusted
+  // Returns false if the input is not a response to the calls sent: the connection can't be trusted
   // any more.
-  bool take_lines() {
+  bool process_lines() {
     std::size_t begin = 0;
-    for (auto end = text_.find("\r\n"); end != std::string::npos; end = text_.find("\r\n", begin)) {
-      const std::string_view line(text_.data() + begin, end - begin);
+    for (auto end = input_.find("\r\n"); end != std::string::npos;
+         end = input_.find("\r\n", begin)) {
+      const std::string_view line(input_.data() + begin, end - begin);
       begin = end + 2;
       if (sent_.empty()) return false;
-      backoff_ = {};  // only an answer shows that the counter is well
-      if (std::exchange(silent_, false)) heard_again_();
+      backoff_ = {};  // only a response shows that the counter is healthy
+      if (std::exchange(unresponsive_, false)) on_recovered_();
       Call c = std::move(sent_.front());
       sent_.pop_front();
       double total = 0;
       if (c.ping ? line == "pong" : line == "busy" || line == "error") {
-        tell(c, CounterOutcome::refused);
-      } else if (!c.ping && line.starts_with("ok ") && number(line.substr(3), total)) {
-        learn(timers_.now() - c.began);
-        tell(c, CounterOutcome::ok, total);
+        complete(c, CounterOutcome::refused);
+      } else if (!c.ping && line.starts_with("ok ") && parse_number(line.substr(3), total)) {
+        update_typical_latency(timers_.now() - c.start_time);
+        complete(c, CounterOutcome::ok, total);
       } else {
-        tell(c, CounterOutcome::timeout);
+        complete(c, CounterOutcome::timeout);
         return false;
       }
     }
-    text_.erase(0, begin);
-    return text_.size() <= facts::kMaxLine;
+    input_.erase(0, begin);
+    return input_.size() <= facts::kMaxLine;
   }
 
-  static bool number(std::string_view text, double& value) {
+  static bool parse_number(std::string_view text, double& value) {
     const auto [end, failed] = std::from_chars(text.data(), text.data() + text.size(), value);
     return failed == std::errc{} && end == text.data() + text.size() && std::isfinite(value);
   }
 
-  // The connection is gone or of no use. What is known not to be written whole was not added.
-  void lose(bool write_ended = false) {
-    if (stage_ == Stage::stopped || stage_ == Stage::down) return;
-    stage_ = Stage::down;
-    tried_ = silent_ = true;
-    ++life_;
-    timers_.cancel(guard_);
+  // The connection was lost or is unusable. Calls of which it is known that they were not fully
+  // written did not take effect and count as refused.
+  void on_connection_lost(bool write_ended = false) {
+    if (state_ == State::stopped || state_ == State::down) return;
+    state_ = State::down;
+    has_tried_ = unresponsive_ = true;
+    ++connection_number_;
+    timers_.cancel(timer_);
     close_now(socket_);
-    writing_.clear();
+    write_buffer_.clear();
     auto sent = std::exchange(sent_, {});
-    auto waiting = std::exchange(waiting_, {});
+    auto unsent = std::exchange(unsent_, {});
     for (auto& c : sent)
-      tell(c, write_ended && c.end > 0 ? CounterOutcome::refused : CounterOutcome::timeout);
-    for (auto& c : waiting) tell(c, CounterOutcome::refused);
+      complete(c, write_ended && c.end > 0 ? CounterOutcome::refused : CounterOutcome::timeout);
+    for (auto& c : unsent) complete(c, CounterOutcome::refused);
     backoff_ = std::clamp(2 * backoff_, facts::kFirstBackoff, facts::kLongestCounterBackoff);
     const auto wait = std::uniform_int_distribution(backoff_.count() / 2,
                                                     backoff_.count())(random_);
-    guard_ = timers_.after(Duration(wait), [self = shared_from_this()] {
-      self->guard_.reset();
+    timer_ = timers_.after(Duration(wait), [self = shared_from_this()] {
+      self->timer_.reset();
       self->connect();
     });
   }
 
-  // Looks now and then whether the connection still lives, and keeps it from idling.
-  void watch() {
+  // Checks periodically that the connection is alive, and pings to keep the counter from closing it
+  // as idle.
+  void check_liveness() {
     const Time now = timers_.now();
-    if (!sent_.empty() &&
-        now - std::max(heard_, sent_.front().began) > facts::kCounterSilent * timeout_)
-      return lose();
-    if (sent_.empty() && (silent_ || now - heard_ > facts::kCounterIdle / 4)) ping();
-    guard_ = timers_.after(facts::kCounterSilent * timeout_ / 4, [self = shared_from_this()] {
-      self->guard_.reset();
-      self->watch();
+    if (!sent_.empty() && now - std::max(last_received_time_, sent_.front().start_time) >
+                              facts::kCounterSilent * timeout_)
+      return on_connection_lost();
+    if (sent_.empty() && (unresponsive_ || now - last_received_time_ > facts::kCounterIdle / 4))
+      ping();
+    timer_ = timers_.after(facts::kCounterSilent * timeout_ / 4, [self = shared_from_this()] {
+      self->timer_.reset();
+      self->check_liveness();
     });
   }
 
   Timers& timers_;
-  Tcp::endpoint at_;
+  Tcp::endpoint address_;
   Duration timeout_;
-  Duration usual_{};  // what an answer takes that finds no line, 0 before the first one
-  ResponseCallback told_;
-  RecoveredCallback heard_again_;
+  // Latency of a response without queueing; 0 before the first response.
+  Duration typical_latency_{};
+  ResponseCallback on_response_;
+  RecoveredCallback on_recovered_;
   Socket socket_;
-  Stage stage_ = Stage::connecting;
-  std::uint64_t life_ = 0, calls_ = 0;  // numbers of connections and of calls
-  std::deque<Call> waiting_, sent_;     // not yet written; written or being written
-  std::string writing_, text_;
-  std::array<char, facts::kReadSize> space_{};
-  Timers::Handle guard_;
+  State state_ = State::connecting;
+  std::uint64_t connection_number_ = 0, last_call_number_ = 0;
+  // Calls not yet written; calls written or being written, awaiting a response.
+  std::deque<Call> unsent_, sent_;
+  std::string write_buffer_, input_;
+  std::array<char, facts::kReadSize> read_buffer_{};
+  Timers::Handle timer_;
   Duration backoff_{};
-  std::mt19937_64 random_;  // so that a fleet's nodes do not come back in step
-  Time heard_{};
-  bool tried_ = false,
-       silent_ = false;  // silent: since its last answer a call got none in time, or a connection
-                         // ended
+  std::mt19937_64 random_;  // spreads the reconnects of a fleet's nodes over time
+  Time last_received_time_{};
+  // Unresponsive: since the last response a call timed out or the connection was lost.
+  bool has_tried_ = false, unresponsive_ = false;
 };
 
-CounterClient::CounterClient(asio::io_context& io, Timers& timers, const Tcp::endpoint& at,
-                             Duration timeout, const ResponseCallback& told,
-                             const RecoveredCallback& heard, std::uint64_t seed) {
+CounterClient::CounterClient(asio::io_context& io, Timers& timers, const Tcp::endpoint& address,
+                             Duration timeout, const ResponseCallback& on_response,
+                             const RecoveredCallback& on_recovered, std::uint64_t seed) {
   for (std::size_t i = 0; i < facts::kCounterLinks; ++i) {
-    connections_.push_back(
-        std::make_shared<Connection>(io, timers, at, timeout, told, heard, seed + i));
+    connections_.push_back(std::make_shared<Connection>(io, timers, address, timeout, on_response,
+                                                        on_recovered, seed + i));
     connections_.back()->connect();
   }
 }
 
 CounterClient::~CounterClient() {
-  for (const auto& l : connections_) l->stop();
+  for (const auto& connection : connections_) connection->stop();
 }
 
-void CounterClient::add(CounterKey name, double amount, Duration lifetime) {
-  // Names are well mixed.
-  connections_[static_cast<std::uint64_t>(name) % connections_.size()]->add(name, amount, lifetime);
+void CounterClient::add(CounterKey key, double amount, Duration lifetime) {
+  // Quota keys are hashes, so the remainder spreads them evenly.
+  connections_[static_cast<std::uint64_t>(key) % connections_.size()]->add(key, amount, lifetime);
 }
 
-void CounterClient::call(const std::string& name, double amount, Duration lifetime,
-                         CallCallback told) {
-  connections_[std::hash<std::string>()(name) % connections_.size()]->call(name, amount, lifetime,
-                                                                           std::move(told));
+void CounterClient::call(const std::string& key, double amount, Duration lifetime,
+                         CallCallback on_response) {
+  connections_[std::hash<std::string>()(key) % connections_.size()]->call(key, amount, lifetime,
+                                                                          std::move(on_response));
 }
 
 bool CounterClient::has_tried_all() const {
-  return std::ranges::all_of(connections_, [](const auto& l) { return l->tried(); });
+  return std::ranges::all_of(connections_,
+                             [](const auto& connection) { return connection->has_tried(); });
 }
 
 }  // namespace petrelrail
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -16,10 +16,11 @@
 using namespace reading;
 namespace http = boost::beast::http;
 
-// One connection to the agent. Once it has ended, what is still under way on it finds no owner.
+// One connection to the agent. close() clears its owner, so that handlers that are still pending do
+// nothing.
 struct Discovery::Exchange {
   Exchange(Discovery& d, bool is_watch) : owner(&d), watch(is_watch), socket(d.io_.get_executor()) {
-    parser.body_limit(boost::none);  // lists are bounded one by one
+    parser.body_limit(boost::none);  // each list is bounded on its own
     parser.eager(true);
   }
 
@@ -29,15 +30,15 @@
   boost::beast::flat_buffer buffer;
   http::request<http::string_body> request;
   http::response_parser<http::string_body> parser;
-  // The list that is coming, which may stand on many lines.
+  // The list being received, which may span several lines.
   std::string list;
-  std::size_t depth = 0;   // of brackets that are open; 0: between two lists
-  bool quoted = false;     // in a string
-  bool escaped = false;    // after a backslash in it
-  bool blank_line = true;  // nothing on this line so far
+  std::size_t depth = 0;   // of open brackets; 0: between two lists
+  bool quoted = false;     // within a string
+  bool escaped = false;    // after a backslash within a string
+  bool blank_line = true;  // the current line has only white space so far
   bool has_head = false, has_line = false;
   Time opened{};
-  Timers::Handle limit;
+  Timers::Handle timer;
 };
 
 std::optional<Tcp::endpoint> endpoint_of(std::string_view text) {
@@ -54,22 +55,22 @@
   return Tcp::endpoint(address, port);
 }
 
-Discovery::Discovery(asio::io_context& io, Timers& timers, const Tcp::endpoint& at,
+Discovery::Discovery(asio::io_context& io, Timers& timers, const Tcp::endpoint& agent,
                      std::string host, std::map<std::string, std::uint32_t> zones,
-                     ListCallback told, Duration drain_grace)
+                     ListCallback on_list, Duration drain_grace)
     : io_(io),
       timers_(timers),
-      agent_(at),
+      agent_(agent),
       host_(std::move(host)),
       zones_(std::move(zones)),
-      on_list_(std::move(told)),
+      on_list_(std::move(on_list)),
       limits_(facts::agent_limits(drain_grace)) {}
 
 Discovery::~Discovery() {
   timers_.cancel(reconnect_timer_);
   timers_.cancel(poll_timer_);
-  if (watch_) end(watch_);
-  end_polls();
+  if (watch_) close(watch_);
+  close_polls();
 }
 
 void Discovery::start(const json& known) {
@@ -78,13 +79,13 @@
   schedule_poll();
 }
 
-void Discovery::set_agent(const Tcp::endpoint& at, std::string host) {
-  agent_ = at;
+void Discovery::set_agent(const Tcp::endpoint& agent, std::string host) {
+  agent_ = agent;
   host_ = std::move(host);
   backoff_ = {};
   timers_.cancel(reconnect_timer_);
-  end_polls();
-  if (watch_) end(std::exchange(watch_, nullptr));
+  close_polls();
+  if (watch_) close(std::exchange(watch_, nullptr));
   open_watch();
   schedule_poll();
 }
@@ -97,10 +98,11 @@
   open_watch();
 }
 
-// ---- Reading a list -----------------------------------------------------------------------------
+// ---- Parsing a list -----------------------------------------------------------------------------
 
-// Ids hold 8 hex digits after a dash: they are the number, at every node. Another form is hashed;
-// where two ids would share a number, the later one takes the next that is free here.
+// Ids end in 8 hex digits after a dash, which are the number, the same at every node. Another form
+// is hashed; if two ids would share a number, the later one gets the next number that is free at
+// this node.
 EndpointId Discovery::id_of(const std::string& id) {
   if (const auto it = ids_by_name_.find(id); it != ids_by_name_.end()) return it->second;
   const auto digits = std::string_view(id).substr(std::min(id.size(), id.rfind('-') + 1));
@@ -125,40 +127,40 @@
   return ZoneIndex(zones_.emplace(name, static_cast<std::uint32_t>(zones_.size())).first->second);
 }
 
-std::optional<Discovery::Entry> Discovery::entry(const json& e) {
+std::optional<Discovery::Entry> Discovery::parse_entry(const json& e) {
   static constexpr std::array<std::pair<const char*, EndpointPhase>, 3> phases{
       {{"SERVING", EndpointPhase::ready},
        {"DRAINING", EndpointPhase::draining},
        {"DELETED", EndpointPhase::gone}}};
   try {
     object_of(e, "members");
-    Entry n;
+    Entry entry;
     const auto& id = text(e, "id");
-    n.info.phase = named(e, "phase", phases);
+    entry.info.phase = named(e, "phase", phases);
     const auto address = endpoint_of(text(e, "host_port"));
     if (!address) fail_field("host_port", "an address and a port");
-    n.address = *address;
-    n.info.cell = uint32(e, "cell");
+    entry.address = *address;
+    entry.info.cell = uint32(e, "cell");
     if (const auto* up = optional_field(e, "up_since_ms"))
       if (const std::chrono::milliseconds ms{integer_of(*up, "up_since_ms")}; ms.count() > 0) {
         if (ms > std::chrono::duration_cast<std::chrono::milliseconds>(Duration::max()))
-          fail_field("up_since_ms", "a time that a clock can show");
-        n.info.started = Time(ms);
+          fail_field("up_since_ms", "a time within the range of the clock");
+        entry.info.started = Time(ms);
       }
     if (const auto* size = optional_field(e, "size"))
-      n.info.weight = reading::number_of(*size, "size");
-    n.info.zone = zone_of(text(e, "locality"));
-    n.info.id = id_of(id);
-    return n;
+      entry.info.weight = reading::number_of(*size, "size");
+    entry.info.zone = zone_of(text(e, "locality"));
+    entry.info.id = id_of(id);
+    return entry;
   } catch (const std::exception& x) {
     on_malformed(stats_.bad_members, "an entry is passed over", x.what());
     return std::nullopt;
   }
 }
 
-// False if it can't be read whole. Then the version stays as it was, so that what was said is asked
-// for again. An entry that can't be read is passed over and the others count, as they are told; but
-// such a list does not say who has gone.
+// Returns false if any part of the list can't be parsed. Then the revision stays as it was, so that
+// the changes are requested again. Malformed entries are skipped and the others applied, but such a
+// list can't tell which endpoints are gone.
 bool Discovery::apply_list(const json& list, bool cached) {
   try {
     object_of(list, "list");
@@ -167,14 +169,14 @@
     const auto& members = list_of(field(list, "members"), "members");
     std::vector<Entry> entries;
     for (const auto& e : members)
-      if (auto n = entry(e)) entries.push_back(std::move(*n));
-    const bool whole = entries.size() == members.size();
-    if (whole || !entries.empty())
-      on_list_(cached              ? EndpointListKind::cached
-               : complete && whole ? EndpointListKind::full
-                                   : EndpointListKind::delta,
+      if (auto entry = parse_entry(e)) entries.push_back(std::move(*entry));
+    const bool all_parsed = entries.size() == members.size();
+    if (all_parsed || !entries.empty())
+      on_list_(cached                   ? EndpointListKind::cached
+               : complete && all_parsed ? EndpointListKind::full
+                                        : EndpointListKind::delta,
                entries);
-    if (!whole) return false;
+    if (!all_parsed) return false;
     revision_ = revision;
     log_malformed_ = true;
     return true;
@@ -184,13 +186,14 @@
   }
 }
 
-void Discovery::on_malformed(std::uint64_t& kind, std::string_view what, std::string_view why) {
-  ++kind;
+void Discovery::on_malformed(std::uint64_t& counter, std::string_view message,
+                             std::string_view reason) {
+  ++counter;
   if (std::exchange(log_malformed_, false))
-    log::warning("discovery", what, {{"why", std::string(why)}});
+    log::warning("discovery", message, {{"why", std::string(reason)}});
 }
 
-// ---- The watch and the questions beside it ------------------------------------------------------
+// ---- The watch and the polls beside it ----------------------------------------------------------
 
 void Discovery::open_watch() {
   polled_revision_.reset();
@@ -198,14 +201,13 @@
   watch_ = open(true);
 }
 
-// The oldest question has its whole time; of the others the first gives way where there are too
-// many.
+// The oldest poll keeps its full time-out; at the connection limit the next oldest one is closed.
 void Discovery::poll() {
   if (polls_.size() + 1 >= facts::kAgentQuestions) {
     const auto it = polls_.begin() + (polls_.size() > 1 ? 1 : 0);
-    const ExchangeHandle late = *it;
+    const ExchangeHandle dropped = *it;
     polls_.erase(it);
-    end(late);
+    close(dropped);
   }
   polls_.push_back(open(false));
 }
@@ -221,131 +223,140 @@
 
 Discovery::ExchangeHandle Discovery::open(bool watch) {
   ++(watch ? stats_.watches : stats_.polls);
-  auto q = std::make_shared<Exchange>(*this, watch);
-  q->opened = timers_.now();
-  give_up_after(q, q->opened + facts::kAgentAnswer);
-  q->socket.async_connect(agent_, [q](const error_code& wrong) {
-    if (q->owner == nullptr) return;
-    auto& self = *q->owner;
-    if (wrong) return self.failed(q, self.stats_.lost);
-    set_no_delay(q->socket);
-    const auto from = q->watch ? "?watch=1&from=" + std::to_string(self.revision_) : std::string();
-    q->request = {http::verb::get, "/api/targets" + from, 11};
-    q->request.set(http::field::host, self.host_);
-    if (!q->watch) q->request.set(http::field::connection, "close");
-    http::async_write(q->socket, q->request, [q](const error_code& broken, std::size_t) {
-      if (q->owner != nullptr && broken) q->owner->failed(q, q->owner->stats_.lost);
-    });
-    self.read(q);
+  auto exchange = std::make_shared<Exchange>(*this, watch);
+  exchange->opened = timers_.now();
+  set_timeout(exchange, exchange->opened + facts::kAgentAnswer);
+  exchange->socket.async_connect(agent_, [exchange](const error_code& error) {
+    if (exchange->owner == nullptr) return;
+    auto& self = *exchange->owner;
+    if (error) return self.on_failed(exchange, self.stats_.lost);
+    set_no_delay(exchange->socket);
+    const auto query = exchange->watch ? "?watch=1&from=" + std::to_string(self.revision_)
+                                       : std::string();
+    exchange->request = {http::verb::get, "/api/targets" + query, 11};
+    exchange->request.set(http::field::host, self.host_);
+    if (!exchange->watch) exchange->request.set(http::field::connection, "close");
+    http::async_write(exchange->socket, exchange->request,
+                      [exchange](const error_code& write_error, std::size_t) {
+                        if (exchange->owner != nullptr && write_error)
+                          exchange->owner->on_failed(exchange, exchange->owner->stats_.lost);
+                      });
+    self.read(exchange);
   });
-  return q;
+  return exchange;
 }
 
-void Discovery::read(const ExchangeHandle& q) {
-  q->socket.async_read_some(q->buffer.prepare(facts::kReadSize),
-                            [q](const error_code& failed, std::size_t bytes) {
-                              if (q->owner != nullptr) q->owner->on_read(q, failed, bytes);
-                            });
+void Discovery::read(const ExchangeHandle& exchange) {
+  exchange->socket.async_read_some(exchange->buffer.prepare(facts::kReadSize),
+                                   [exchange](const error_code& failed, std::size_t bytes) {
+                                     if (exchange->owner != nullptr)
+                                       exchange->owner->on_read(exchange, failed, bytes);
+                                   });
 }
 
-void Discovery::on_read(const ExchangeHandle& q, const error_code& wrong, std::size_t bytes) {
-  if (wrong) return failed(q, stats_.lost);
-  q->buffer.commit(bytes);
-  const auto came = take_bytes(*q);
-  if (q->owner == nullptr) return;  // ended by who was told
-  if (came == ReadResult::unreadable) return failed(q, stats_.unreadable);
-  if (came == ReadResult::line) on_watch_line(q);
-  if (q->owner == nullptr) return;
-  if (q->parser.is_done()) return failed(q, stats_.lost);
-  if (q->watch && !q->has_line && q->parser.is_header_done() && !std::exchange(q->has_head, true))
-    give_up_after(q, q->opened + facts::kWatchSilent);
-  read(q);
+void Discovery::on_read(const ExchangeHandle& exchange, const error_code& error,
+                        std::size_t bytes) {
+  if (error) return on_failed(exchange, stats_.lost);
+  exchange->buffer.commit(bytes);
+  const auto result = process_input(*exchange);
+  if (exchange->owner == nullptr) return;  // closed by the list callback
+  if (result == ReadResult::unreadable) return on_failed(exchange, stats_.unreadable);
+  if (result == ReadResult::line) on_line(exchange);
+  if (exchange->owner == nullptr) return;
+  if (exchange->parser.is_done()) return on_failed(exchange, stats_.lost);
+  if (exchange->watch && !exchange->has_line && exchange->parser.is_header_done() &&
+      !std::exchange(exchange->has_head, true))
+    set_timeout(exchange, exchange->opened + facts::kWatchSilent);
+  read(exchange);
 }
 
-Discovery::ReadResult Discovery::take_bytes(Exchange& q) {
+Discovery::ReadResult Discovery::process_input(Exchange& exchange) {
   error_code wrong;
-  while (!q.parser.is_done() && q.buffer.size() > 0) {
-    q.buffer.consume(q.parser.put(q.buffer.data(), wrong));
+  while (!exchange.parser.is_done() && exchange.buffer.size() > 0) {
+    exchange.buffer.consume(exchange.parser.put(exchange.buffer.data(), wrong));
     if (wrong == http::error::need_more) break;
     if (wrong)
       return on_malformed(stats_.bad_heads, "an answer is passed over", wrong.message()),
              ReadResult::unreadable;
   }
-  if (q.parser.is_header_done() && q.parser.get().result() != http::status::ok)
+  if (exchange.parser.is_header_done() && exchange.parser.get().result() != http::status::ok)
     return on_malformed(stats_.bad_heads, "an answer is passed over", "its status is not 200"),
            ReadResult::unreadable;
-  return take_text(q, std::exchange(q.parser.get().body(), {}));
+  return process_text(exchange, std::exchange(exchange.parser.get().body(), {}));
 }
 
-// Lists are objects with white space between and, where they come indented, within: where one ends
-// its brackets tell. Where what came can't be read, what was in it is not known: the watch is begun
-// again from the last version that could be read.
-Discovery::ReadResult Discovery::take_text(Exchange& q, std::string_view text) {
-  const auto no_list = [this](std::string_view why) {
-    on_malformed(stats_.bad_documents, "a list is passed over", why);
+// Lists are JSON objects, separated by white space and possibly indented, so the end of a list is
+// found by counting brackets. The content of unreadable input is unknown: the watch is reopened
+// from the last revision that could be read.
+Discovery::ReadResult Discovery::process_text(Exchange& exchange, std::string_view text) {
+  const auto fail = [this](std::string_view reason) {
+    on_malformed(stats_.bad_documents, "a list is passed over", reason);
     return ReadResult::unreadable;
   };
-  auto came = ReadResult::nothing;
+  auto result = ReadResult::incomplete;
   for (const char c : text) {
-    const bool white = c == ' ' || c == '\t' || c == '\r' || c == '\n';
-    if (q.depth == 0) {
-      if (c == '\n' && std::exchange(q.blank_line, true) && q.watch) came = ReadResult::line;
-      if (white) continue;
-      if (c != '{') return no_list("it is no object");
-      q.quoted = q.escaped = false;
+    const bool is_space = c == ' ' || c == '\t' || c == '\r' || c == '\n';
+    if (exchange.depth == 0) {
+      if (c == '\n' && std::exchange(exchange.blank_line, true) && exchange.watch)
+        result = ReadResult::line;
+      if (is_space) continue;
+      if (c != '{') return fail("it is not an object");
+      exchange.quoted = exchange.escaped = false;
     }
-    q.list += c;
-    if (q.quoted) {
-      if (c == '\n') return no_list("it is cut short");
-      q.quoted = q.escaped || c != '"';
-      q.escaped = !q.escaped && c == '\\';
+    exchange.list += c;
+    if (exchange.quoted) {
+      if (c == '\n') return fail("it is cut short");
+      exchange.quoted = exchange.escaped || c != '"';
+      exchange.escaped = !exchange.escaped && c == '\\';
       continue;
     }
-    // An empty line says that all is well, and none stands within a list: this one was cut short.
-    if (c == '\n' && std::exchange(q.blank_line, true)) return no_list("it is cut short");
-    q.blank_line = q.blank_line && white;
-    q.quoted = c == '"';
-    if (c == '{' || c == '[') ++q.depth;
-    if ((c != '}' && c != ']') || --q.depth > 0) continue;
-    if (!take_list(q, std::exchange(q.list, {}))) return ReadResult::unreadable;
-    came = ReadResult::line;
-    if (!q.watch || q.owner == nullptr) return came;
+    // An empty line is the agent's heartbeat and never occurs within a list, so this list was cut
+    // short.
+    if (c == '\n' && std::exchange(exchange.blank_line, true)) return fail("it is cut short");
+    exchange.blank_line = exchange.blank_line && is_space;
+    exchange.quoted = c == '"';
+    if (c == '{' || c == '[') ++exchange.depth;
+    if ((c != '}' && c != ']') || --exchange.depth > 0) continue;
+    if (!process_list(exchange, std::exchange(exchange.list, {}))) return ReadResult::unreadable;
+    result = ReadResult::line;
+    if (!exchange.watch || exchange.owner == nullptr) return result;
   }
-  return q.list.size() <= facts::kMaxList ? came : no_list("it is too long");
+  return exchange.list.size() <= facts::kMaxList ? result : fail("it is too long");
 }
 
-// What a watch says of a time before the whole list that was taken beside it is known already, and
-// was overtaken by it.
-bool Discovery::take_list(Exchange& q, const std::string& text) {
+// Changes on the watch that precede a whole list from a poll are skipped: that list includes them.
+bool Discovery::process_list(Exchange& exchange, const std::string& text) {
   const auto list = json::parse(text, nullptr, false);
   if (list.is_discarded())
-    return on_malformed(stats_.bad_documents, "a list is passed over", "it is no JSON"), false;
+    return on_malformed(stats_.bad_documents, "a list is passed over", "it is not JSON"), false;
   const auto complete = list.value("complete", json());
-  if (!q.watch && complete == false)
-    return on_malformed(stats_.bad_lists, "a list is passed over", "it is not whole"), false;
+  if (!exchange.watch && complete == false)
+    return on_malformed(stats_.bad_lists, "a list is passed over",
+                        "a poll must return the whole list"),
+           false;
   const auto revision = list.value("revision", json());
-  const bool changes = q.watch && complete == false && revision.is_number_unsigned();
+  const bool changes = exchange.watch && complete == false && revision.is_number_unsigned();
   if (changes && polled_revision_ && revision < *polled_revision_) return true;
-  if (changes &&
-      revision < revision_) {  // of another list than is held: asked for whole, from now on
+  // Changes of a lower revision belong to another list than the one held: poll for the whole list.
+  if (changes && revision < revision_) {
     in_sync_ = false;
-    end_polls();
+    close_polls();
     return true;
   }
   if (!apply_list(list, false)) return false;
-  if (!q.watch) polled_revision_ = revision_;
+  if (!exchange.watch) polled_revision_ = revision_;
   in_sync_ = true;
   return true;
 }
 
-void Discovery::on_watch_line(const ExchangeHandle& q) {
-  if (q->watch) {
-    q->has_line = true;
+void Discovery::on_line(const ExchangeHandle& exchange) {
+  if (exchange->watch) {
+    exchange->has_line = true;
     backoff_ = {};
-    give_up_after(q, timers_.now() + facts::kWatchSilent);
+    set_timeout(exchange, timers_.now() + facts::kWatchSilent);
   }
   if (in_sync_) {
-    end_polls();
+    close_polls();
     if (watch_ && watch_->has_line) timers_.cancel(poll_timer_);
   } else if (polls_.empty()) {
     schedule_poll();
@@ -353,22 +364,23 @@
   }
 }
 
-void Discovery::give_up_after(const ExchangeHandle& q, Time when) {
-  timers_.cancel(q->limit);
-  q->limit = timers_.at(when, [this, q] {
-    q->limit.reset();
-    failed(q, stats_.silent);
+void Discovery::set_timeout(const ExchangeHandle& exchange, Time deadline) {
+  timers_.cancel(exchange->timer);
+  exchange->timer = timers_.at(deadline, [this, exchange] {
+    exchange->timer.reset();
+    on_failed(exchange, stats_.silent);
   });
 }
 
-void Discovery::failed(const ExchangeHandle& q, std::uint64_t& reason) {
-  ++reason;
-  end(q);
-  if (!q->watch) {
-    std::erase(polls_, q);
+void Discovery::on_failed(const ExchangeHandle& exchange, std::uint64_t& counter) {
+  ++counter;
+  close(exchange);
+  if (!exchange->watch) {
+    std::erase(polls_, exchange);
     return;
   }
-  if (backoff_ == Duration{} && &reason == &stats_.silent) log::warning("discovery", "silent");
+  if (backoff_ == Duration{} && &counter == &stats_.silent)
+    log::warning("discovery", "agent sent nothing in time");
   watch_.reset();
   if (!poll_timer_) schedule_poll();
   backoff_ = std::min(std::max(2 * backoff_, facts::kFirstBackoff), limits_.pause);
@@ -378,14 +390,14 @@
   });
 }
 
-void Discovery::end(const ExchangeHandle& q) {
-  q->owner = nullptr;
-  timers_.cancel(q->limit);
-  close_now(q->socket);
+void Discovery::close(const ExchangeHandle& exchange) {
+  exchange->owner = nullptr;
+  timers_.cancel(exchange->timer);
+  close_now(exchange->socket);
 }
 
-void Discovery::end_polls() {
-  for (const auto& q : std::exchange(polls_, {})) end(q);
+void Discovery::close_polls() {
+  for (const auto& exchange : std::exchange(polls_, {})) close(exchange);
 }
 
 }  // namespace petrelrail
--- a/src/node/discovery.hpp
+++ b/src/node/discovery.hpp
@@ -1,32 +1,36 @@
-// Discovery: the list of app servers as it was known at the start, then a watch on what changes.
+// Reads the list of price servers from the discovery agent: starts with the list known before the
+// start, then keeps a watch (a stream of changes) open and polls for the whole list while the watch
+// is silent. Owned by Node, on the thread of the io_context. It doesn't choose endpoints.
 //
-// What the agent holds counts as told whether or not a watch is open. So until the watch has given
-// a whole line (an empty one, or a list's end), a question for the whole list goes out beside it
-// every `answer`: settings' `drain_grace` bounds the time between two of them
-// (facts::agent_limits), and an agent that is slower is still heard, since the oldest question
-// stays open for kAgentAnswer (500 ms) and only the one after it gives way to the next.
+// Price servers count as notified of what the agent holds whether or not a watch is open. So until
+// the watch has delivered a complete line (an empty one, or the end of a list), polls for the whole
+// list are sent beside it, one per poll interval. `drain_grace` of the settings bounds that
+// interval (facts::agent_limits). An agent slower than that is still read, since the oldest poll
+// stays open for kAgentAnswer (500 ms) and only the next one is dropped to make way for a new poll.
 //
 // clang-format off
-//   state     | whole line       | other bytes    | its time is over         | lost: refused,   | `answer` since  | a question's
-//             |                  |                |                          | reset, unreadable| the last asking | whole list
-//   ----------+------------------+----------------+--------------------------+------------------+-----------------+--------------
-//   paused    | -                | -              | pause: watch, -> opening | -                | ask beside it   | take, end the
-//   opening   | -> heard         | head: -> headed| 500 ms: -> paused        | -> paused        | ask beside it   | other questions;
-//   headed    | -> heard         | -              | 3 s since opening:       | -> paused        | ask beside it   | the watch stays
-//             |                  |                | -> paused                |                  |                 | as it is
-//   heard     | 3 s from now on  | -              | 3 s since the last line: | -> paused        | - (no questions | - (none is
-//             |                  |                | -> paused                |                  | are out)        | out)
+//   state     | complete line    | other bytes      | time-out                 | lost: refused,   | poll interval   | whole list
+//             |                  |                  |                          | reset, unreadable| elapsed         | from a poll
+//   ----------+------------------+------------------+--------------------------+------------------+-----------------+--------------
+//   paused    | -                | -                | pause ends: open watch,  | -                | poll            | apply it, end
+//             |                  |                  | -> opening               |                  |                 | the other
+//   opening   | -> live          | head: -> headed  | 500 ms: -> paused        | -> paused        | poll            | polls; the
+//   headed    | -> live          | -                | 3 s since opening:       | -> paused        | poll            | watch stays
+//             |                  |                  | -> paused                |                  |                 | as it is
+//   live      | 3 s from now on  | -                | 3 s since the last line: | -> paused        | - (no polls     | - (no polls
+//             |                  |                  | -> paused                |                  | are open)       | are open)
 // clang-format on
 //
-// Entering `heard` ends all questions and the pauses' growth. Entering `paused` from `heard` begins
-// the asking. From any state move() (SIGHUP) drops the watch, the questions and the pause, and goes
-// to `opening` at the new address.
+// Entering `live` ends all polls and resets the growth of the pauses. Entering `paused` from `live`
+// starts polling. set_agent() (on SIGHUP) drops the watch, the polls and the pause in any state,
+// and goes to `opening` at the new address.
 //
-// An agent may hold a lower version than is held here: it came back empty, or stands at another
-// address. Then its first line is the whole list, which is taken whatever its version; or it has
-// nothing to say of what is later and sends empty lines; or changes of a lower version, which are
-// changes of another list. So in `heard` as well questions go out, the first at once, until a list
-// has come on this watch that goes on from the version held, or a whole one, on it or beside.
+// An agent may hold a lower revision than this node, because it restarted empty or is another one
+// at a new address. Then its first line is the whole list, which is applied whatever its revision;
+// or it has nothing later to report and sends empty lines; or it sends changes of a lower revision,
+// which belong to another list. So polls are sent in `live` as well, the first at once, until this
+// watch has delivered a list that continues the revision held, or a whole list has arrived on the
+// watch or on a poll.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -44,7 +48,7 @@
 
 namespace petrelrail {
 
-// The address in a text of address and port, or none.
+// Parses "ADDRESS:PORT" with a numeric address and a port above 0.
 std::optional<Tcp::endpoint> endpoint_of(std::string_view text);
 
 class Discovery {
@@ -55,40 +59,38 @@
   };
   using ListCallback = std::function<void(EndpointListKind, const std::vector<Entry>&)>;
 
-  // What became of connections to the agent, in numbers since the start.
+  // Counters of connections to the agent since the start.
   struct Stats {
     std::uint64_t watches = 0, polls = 0;  // opened
-    std::uint64_t lost = 0;                // refused, reset, closed by the agent
-    std::uint64_t silent = 0;              // given up for what did not come in time
-    std::uint64_t unreadable = 0;          // ended for one of those that follow
-    // What came malformed: heads, chunks and refusals; texts that are no JSON; lists without what
-    // each has; members.
+    std::uint64_t lost = 0;                // refused, reset, or closed by the agent
+    std::uint64_t silent = 0;              // closed after a time-out
+    std::uint64_t unreadable = 0;          // closed for malformed input
+    // Malformed input: HTTP heads, chunks and error statuses; text that is not JSON; lists without
+    // a required field; list entries.
     std::uint64_t bad_heads = 0, bad_documents = 0, bad_lists = 0, bad_members = 0;
   };
 
-  // `drain_grace`: of the settings, see facts::agent_limits; where it is not given the limits are
-  // the longest.
-  Discovery(asio::io_context& io, Timers& timers, const Tcp::endpoint& at, std::string host,
-            std::map<std::string, std::uint32_t> zones, ListCallback told,
+  // `zones`: indices of the zones by name; unknown zones get the next index. `drain_grace`: from
+  // the settings, see facts::agent_limits; by default the limits are the longest.
+  Discovery(asio::io_context& io, Timers& timers, const Tcp::endpoint& agent, std::string host,
+            std::map<std::string, std::uint32_t> zones, ListCallback on_list,
             Duration drain_grace = Duration::max());
   ~Discovery();
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
-  // Tells of the list as it was known before the start, and watches from there.
+  // Reports the list known before the start, then watches from its revision.
   void start(const nlohmann::json& known);
-  // The agent listens elsewhere from now on: the watch goes on there, from the last version that
-  // was read.
-  void set_agent(const Tcp::endpoint& at, std::string host);
-  // The settings have another grace from now on; what waits by the old limits waits no longer than
-  // by the new ones.
+  // Continues at another address, from the last revision read.
+  void set_agent(const Tcp::endpoint& agent, std::string host);
+  // Applies a changed `drain_grace`. Pending waits are shortened to the new limits.
   void set_drain_grace(Duration drain_grace);
   std::uint64_t revision() const { return revision_; }
   const facts::AgentLimits& limits() const { return limits_; }
   const Stats& stats() const { return stats_; }
-  // The server that some list has named so.
+  // The endpoint of this name, if a list has named it.
   std::optional<EndpointId> find_id(const std::string& id) const;
-  // The number of a server, given on first sight, and the name behind a number that was given.
+  // The endpoint of this name; assigns one if the name is new.
   EndpointId id_of(const std::string& id);
   const std::string& name_of(EndpointId server) const { return names_by_id_.at(server); }
 
@@ -96,30 +98,30 @@
   struct Exchange;
   using ExchangeHandle = std::shared_ptr<Exchange>;
   enum class ReadResult : std::uint8_t {
-    nothing,
-    line,
+    incomplete,  // at most a part of a line
+    line,        // at least one complete line
     unreadable
-  };  // whole lines, or a part of one at most
+  };
 
   ZoneIndex zone_of(const std::string& name);
-  std::optional<Entry> entry(const nlohmann::json& e);
+  std::optional<Entry> parse_entry(const nlohmann::json& e);
   bool apply_list(const nlohmann::json& list, bool cached);
-  void on_malformed(std::uint64_t& kind, std::string_view what, std::string_view why);
+  void on_malformed(std::uint64_t& counter, std::string_view message, std::string_view reason);
 
   void open_watch();
   void poll();
   void schedule_poll();
   ExchangeHandle open(bool watch);
-  void read(const ExchangeHandle& q);
-  void on_read(const ExchangeHandle& q, const error_code& failed, std::size_t bytes);
-  ReadResult take_bytes(Exchange& q);
-  ReadResult take_text(Exchange& q, std::string_view text);
-  bool take_list(Exchange& q, const std::string& text);
-  void on_watch_line(const ExchangeHandle& q);
-  void give_up_after(const ExchangeHandle& q, Time when);
-  void failed(const ExchangeHandle& q, std::uint64_t& reason);
-  void end(const ExchangeHandle& q);
-  void end_polls();
+  void read(const ExchangeHandle& exchange);
+  void on_read(const ExchangeHandle& exchange, const error_code& error, std::size_t bytes);
+  ReadResult process_input(Exchange& exchange);
+  ReadResult process_text(Exchange& exchange, std::string_view text);
+  bool process_list(Exchange& exchange, const std::string& text);
+  void on_line(const ExchangeHandle& exchange);
+  void set_timeout(const ExchangeHandle& exchange, Time deadline);
+  void on_failed(const ExchangeHandle& exchange, std::uint64_t& counter);
+  void close(const ExchangeHandle& exchange);
+  void close_polls();
 
   asio::io_context& io_;
   Timers& timers_;
@@ -132,16 +134,16 @@
   std::uint64_t revision_ = 0;
 
   facts::AgentLimits limits_;
-  ExchangeHandle watch_;               // none: paused
-  std::vector<ExchangeHandle> polls_;  // beside it, the oldest first
-  std::optional<std::uint64_t>
-      polled_revision_;   // the version of a list that was taken beside this watch
-  bool in_sync_ = false;  // what is held is what the agent holds, as this watch tells of it
-  Timers::Handle reconnect_timer_;  // before the next watch
-  Timers::Handle poll_timer_;       // none: the watch has been heard
+  ExchangeHandle watch_;               // null while paused
+  std::vector<ExchangeHandle> polls_;  // open beside the watch, the oldest first
+  // The revision of a list from a poll that was applied while this watch is open.
+  std::optional<std::uint64_t> polled_revision_;
+  bool in_sync_ = false;            // the list held continues the one that this watch reports
+  Timers::Handle reconnect_timer_;  // opens the next watch
+  Timers::Handle poll_timer_;       // unset while no polls are needed
   Duration backoff_{};
   Stats stats_;
-  bool log_malformed_ = true;  // of the first of a row of malformed lists
+  bool log_malformed_ = true;  // only the first malformed list since a good one is logged
 };
 
 }  // namespace petrelrail
--- a/src/node/gossip_transport.cpp
+++ b/src/node/gossip_transport.cpp
@@ -9,7 +9,7 @@
 namespace petrelrail {
 namespace {
 
-double ago(Time now, Time then) { return then == Time{} ? -1.0 : seconds(now - then); }
+double seconds_since(Time now, Time then) { return then == Time{} ? -1.0 : seconds(now - then); }
 
 }  // namespace
 
@@ -17,18 +17,18 @@
   return {{"life", s.life}, {"incarnation", s.incarnation}};
 }
 
-fleet::Self self_of(const nlohmann::json& j, fleet::Self self) {
+fleet::Self self_from_json(const nlohmann::json& j, fleet::Self self) {
   self.life = j.at("life").get<std::uint16_t>();
   self.incarnation = j.at("incarnation").get<std::uint32_t>();
-  if (self.incarnation == 0) throw std::runtime_error("a member without an incarnation");
+  if (self.incarnation == 0) throw std::runtime_error("incarnation must be above 0");
   return self;
 }
 
 GossipTransport::GossipTransport(asio::io_context& io, Timers& timers, const GossipConfig& config,
-                                 std::uint64_t seed, Callbacks& owner)
+                                 std::uint64_t seed, Callbacks& callbacks)
     : timers_(timers),
       config_(config),
-      callbacks_(owner),
+      callbacks_(callbacks),
       seed_(mix_hash(seed)),
       socket_(io.get_executor()) {
   fleet::validate(config_.terms);
@@ -36,7 +36,8 @@
   self_.zone = config_.zone;
   self_.life = static_cast<std::uint16_t>(mix_hash(seed_));
   for (std::size_t i = 0; i < config_.addresses.size(); ++i)
-    known_.emplace(config_.addresses[i], fleet::MemberId(static_cast<std::uint16_t>(i)));
+    members_by_address_.emplace(config_.addresses[i],
+                                fleet::MemberId(static_cast<std::uint16_t>(i)));
 }
 
 GossipTransport::~GossipTransport() { stop(); }
@@ -56,149 +57,155 @@
   if (predecessor)
     self_ = *predecessor;
   else if (members_)
-    self_ = members_->self();  // it goes on after a successor that has ended
+    self_ = members_->self();  // resumes after a successor has failed
   members_ = std::make_unique<fleet::Members>(config_.terms, self_, seed_);
-  told_version_ = 0;
+  reported_version_ = 0;
   members_->start(timers_.now());
   receive();
-  act();
+  process_output();
 }
 
 void GossipTransport::leave() {
   if (!started()) return;
   members_->leave(timers_.now());
-  act();
+  process_output();
 }
 
 void GossipTransport::stop() {
-  timers_.cancel(due_);
+  timers_.cancel(timer_);
   error_code ignored;
   socket_.close(ignored);
 }
 
 void GossipTransport::receive() {
-  socket_.async_receive_from(asio::buffer(space_), sender_,
+  socket_.async_receive_from(asio::buffer(receive_buffer_), sender_,
                              [this](const error_code& failed, std::size_t bytes) {
                                if (failed == asio::error::operation_aborted || !started()) return;
-                               // A datagram to one that is gone may come back as an error: it says
-                               // nothing of this socket.
+                               // An error may stem from a datagram sent to a peer that is gone; it
+                               // says nothing about this socket.
                                if (!failed) {
-                                 took(bytes);
-                                 drain();
-                                 act();
+                                 on_datagram(bytes);
+                                 drain_socket();
+                                 process_output();
                                }
                                receive();
                              });
 }
 
-// What waits in the socket comes before anybody is judged for not having answered. Bounded, as
-// others may send for ever.
-void GossipTransport::drain() {
+// Reads the datagrams waiting in the socket before the protocol judges that a member has not
+// answered. Bounded, as peers may keep sending.
+void GossipTransport::drain_socket() {
   for (std::size_t i = 0; i < facts::kDatagramsAtOnce; ++i) {
-    error_code none;
-    const auto bytes = socket_.receive_from(asio::buffer(space_), sender_, 0, none);
-    if (none) return;
-    took(bytes);
+    error_code failed;
+    const auto bytes = socket_.receive_from(asio::buffer(receive_buffer_), sender_, 0, failed);
+    if (failed) return;
+    on_datagram(bytes);
   }
 }
 
-void GossipTransport::took(std::size_t bytes) {
-  const auto it = known_.find(sender_);
-  if (it == known_.end()) return members_->stranger();
-  if (const auto other = members_->received(timers_.now(), it->second, {space_.data(), bytes}))
-    callbacks_.on_message(it->second, *other);
+void GossipTransport::on_datagram(std::size_t bytes) {
+  const auto it = members_by_address_.find(sender_);
+  if (it == members_by_address_.end()) return members_->stranger();
+  if (const auto message = members_->received(timers_.now(), it->second,
+                                              {receive_buffer_.data(), bytes}))
+    callbacks_.on_message(it->second, *message);
 }
 
 void GossipTransport::send(fleet::MemberId to, fleet::Body body, std::uint32_t echo) {
   if (started() && fleet::index_of(to) < config_.addresses.size())
-    write(members_->sealed(to, std::move(body), echo));
+    write_datagram(members_->sealed(to, std::move(body), echo));
 }
 
-void GossipTransport::write(const fleet::Members::Datagram& d) {
+void GossipTransport::write_datagram(const fleet::Members::Datagram& d) {
   error_code failed;
   socket_.send_to(asio::buffer(d.bytes), config_.addresses[fleet::index_of(d.to)], 0, failed);
   if (failed) ++unsent_;
 }
 
 void GossipTransport::tick() {
-  drain();
+  drain_socket();
   if (const Time now = timers_.now(); members_->next() <= now) members_->tick(now);
-  act();
+  process_output();
 }
 
-void GossipTransport::act() {
-  for (const auto& d : members_->take_datagrams()) write(d);
-  for (const auto& v : members_->take_verdicts()) tell(v);
-  timers_.cancel(due_);
-  due_ = timers_.at(members_->next(), [this] {
-    due_.reset();
+void GossipTransport::process_output() {
+  for (const auto& d : members_->take_datagrams()) write_datagram(d);
+  for (const auto& verdict : members_->take_verdicts()) log_status_change(verdict);
+  timers_.cancel(timer_);
+  timer_ = timers_.at(members_->next(), [this] {
+    timer_.reset();
     tick();
   });
   const auto standing = members_->standing(timers_.now());
-  const bool moved = std::exchange(standing_, standing) != standing;
-  if (members_->changes() == told_version_ && !moved) return;
-  told_version_ = members_->changes();
-  const auto v = view();
-  if (moved)
-    log::warning("members", std::string("this node reaches ") + fleet::name_of(v->standing),
-                 {{"living", std::to_string(v->living)}, {"failed", std::to_string(v->failed)}});
-  if (const bool c = members_->conflicted(timers_.now()); std::exchange(conflicted_, c) != c && c)
+  const bool standing_changed = std::exchange(standing_, standing) != standing;
+  if (members_->changes() == reported_version_ && !standing_changed) return;
+  reported_version_ = members_->changes();
+  const auto current_view = view();
+  if (standing_changed)
+    log::warning("members",
+                 std::string("this node reaches ") + fleet::name_of(current_view->standing),
+                 {{"living", std::to_string(current_view->living)},
+                  {"failed", std::to_string(current_view->failed)}});
+  if (const bool conflict = members_->conflicted(timers_.now());
+      std::exchange(conflicted_, conflict) != conflict && conflict)
     log::warning("members", "another process goes by this node's name");
-  callbacks_.on_view_changed(*v);
+  callbacks_.on_view_changed(*current_view);
 }
 
-void GossipTransport::tell(const fleet::Verdict& v) {
-  const auto who = std::to_string(fleet::index_of(v.about));
-  const auto incarnation = std::to_string(v.incarnation);
-  switch (v.rank) {
+void GossipTransport::log_status_change(const fleet::Verdict& verdict) {
+  const auto member = std::to_string(fleet::index_of(verdict.about));
+  const auto incarnation = std::to_string(verdict.incarnation);
+  switch (verdict.rank) {
     case fleet::Rank::suspect:
-      return log::info("members", "member " + who + " is suspect", {{"incarnation", incarnation}});
+      return log::info("members", "member " + member + " is suspect",
+                       {{"incarnation", incarnation}});
     case fleet::Rank::failed:
-      return log::warning("members", "member " + who + " has failed",
+      return log::warning("members", "member " + member + " has failed",
                           {{"incarnation", incarnation}});
     case fleet::Rank::left:
-      return log::info("members", "member " + who + " has left", {{"incarnation", incarnation}});
+      return log::info("members", "member " + member + " has left", {{"incarnation", incarnation}});
     case fleet::Rank::alive:
-      return log::info("members", "member " + who + (v.returned ? " is back" : " is there"),
+      return log::info("members",
+                       "member " + member + (verdict.returned ? " is back" : " is there"),
                        {{"incarnation", incarnation}});
   }
 }
 
 nlohmann::json GossipTransport::to_json() const {
   const Time now = timers_.now();
-  const auto v = view();
+  const auto current_view = view();
   const auto rounded = [](double s) {
     return static_cast<double>(static_cast<std::int64_t>(s * 1e3)) / 1e3;
   };
   nlohmann::json members = nlohmann::json::array(), zones = nlohmann::json::array();
-  for (std::size_t i = 0; i < v->seats->size(); ++i) {
-    const auto& s = (*v->seats)[i];
+  for (std::size_t i = 0; i < current_view->seats->size(); ++i) {
+    const auto& s = (*current_view->seats)[i];
     nlohmann::json m = {{"number", i},
                         {"state", s.state.known() ? fleet::name_of(s.state.rank) : "unknown"}};
     if (s.state.known()) {
       m["incarnation"] = s.state.incarnation;
       m["zone"] = s.zone < config_.zones.size() ? config_.zones[s.zone] : std::to_string(s.zone);
-      m["since_s"] = rounded(ago(now, s.since));
+      m["since_s"] = rounded(seconds_since(now, s.since));
       if (!s.settled) m["settled"] = false;
     }
     members.push_back(std::move(m));
   }
-  for (std::size_t z = 0; z < v->zones.size(); ++z)
+  for (std::size_t z = 0; z < current_view->zones.size(); ++z)
     zones.push_back({{"zone", z < config_.zones.size() ? config_.zones[z] : std::to_string(z)},
-                     {"known", v->zones[z].known},
-                     {"living", v->zones[z].living},
-                     {"heard_s", rounded(ago(now, v->zones[z].heard))}});
+                     {"known", current_view->zones[z].known},
+                     {"living", current_view->zones[z].living},
+                     {"heard_s", rounded(seconds_since(now, current_view->zones[z].heard))}});
   return {{"self", config_.index},
           {"incarnation", members_->self().incarnation},
-          {"standing", fleet::name_of(v->standing)},
-          {"version", v->version},
-          {"age_s", rounded(ago(now, v->since))},
-          {"stale_s", rounded(seconds(v->stale(now)))},
-          {"living", v->living},
-          {"suspect", v->suspects},
-          {"failed", v->failed},
-          {"left", v->left},
-          {"unknown", v->unknown},
+          {"standing", fleet::name_of(current_view->standing)},
+          {"version", current_view->version},
+          {"age_s", rounded(seconds_since(now, current_view->since))},
+          {"stale_s", rounded(seconds(current_view->stale(now)))},
+          {"living", current_view->living},
+          {"suspect", current_view->suspects},
+          {"failed", current_view->failed},
+          {"left", current_view->left},
+          {"unknown", current_view->unknown},
           {"health", stats().health},
           {"zones", std::move(zones)},
           {"members", std::move(members)}};
--- a/src/node/gossip_transport.hpp
+++ b/src/node/gossip_transport.hpp
@@ -1,5 +1,6 @@
-// The datagrams to and from the other edge nodes: one UDP socket, the timer of src/fleet/members,
-// and what comes of both. What is decided is decided there. PROTOCOL, "Between edge nodes".
+// Datagram transport between edge nodes: owns the UDP socket and the timer of the membership
+// protocol (src/fleet/members), which makes all decisions. Owned by Node, on the thread of the
+// io_context. Wire format: PROTOCOL, "Between edge nodes".
 #pragma once
 
 #include <array>
@@ -21,25 +22,25 @@
 
 struct GossipConfig {
   Udp::endpoint listen;
-  std::vector<Udp::endpoint> addresses;  // of every node by its number, this one's included
+  std::vector<Udp::endpoint> addresses;  // of all nodes, this one's included, by node index
   fleet::Terms terms;
   std::uint8_t zone = 0;
-  std::vector<std::string> zones;  // names, by number
+  std::vector<std::string> zones;  // zone names, by zone index
   std::uint32_t index = 0;
-  bool paces = false;  // the counter is called by the number of the living
-  bool jobs = false;   // batch jobs that outlive their node
+  bool paces_counter = false;  // paces counter calls by the number of living nodes
+  bool jobs = false;           // batch jobs are on: they continue on another node if theirs fails
 };
 
-// What a successor needs to be the same member, as it passes between two processes.
+// The member's identity, which a successor process of this node takes over.
 nlohmann::json to_json(const fleet::Self& s);
-// Throws if it can't be read.
-fleet::Self self_of(const nlohmann::json& j, fleet::Self self);
+// Applies a to_json() result to `self`. Throws if it can't be parsed.
+fleet::Self self_from_json(const nlohmann::json& j, fleet::Self self);
 
 class GossipTransport {
  public:
   struct Callbacks {
     virtual void on_view_changed(const fleet::View& view) = 0;
-    // A datagram of a kind that is not members' own.
+    // Called with a datagram of a kind that the membership protocol does not handle.
     virtual void on_message(fleet::MemberId from, const fleet::Message& message) {
       static_cast<void>(from), static_cast<void>(message);
     }
@@ -49,50 +50,52 @@
   };
 
   GossipTransport(asio::io_context& io, Timers& timers, const GossipConfig& config,
-                  std::uint64_t seed, Callbacks& owner);
+                  std::uint64_t seed, Callbacks& callbacks);
   ~GossipTransport();
   GossipTransport(const GossipTransport&) = delete;
   GossipTransport& operator=(const GossipTransport&) = delete;
 
-  // Binds the address: throws boost::system::system_error where that can't be. With the state of a
-  // predecessor, if there is one, whose member this process goes on being.
+  // Binds the address and joins, as the member that the predecessor process was, if given. Throws
+  // boost::system::system_error if the address can't be bound.
   void start(const std::optional<fleet::Self>& predecessor);
-  // Says that this node leaves; it goes on telling until the process ends.
+  // Announces that this node leaves, and repeats it until the process ends.
   void leave();
-  // Sends what another part has to say, if the socket is open.
+  // Sends a datagram of another part of the node; drops it if the socket is closed.
   void send(fleet::MemberId to, fleet::Body body, std::uint32_t echo);
-  // Lets the address go, for a successor.
+  // Closes the socket, so that a successor can bind the address.
   void stop();
   bool started() const { return socket_.is_open(); }
 
   fleet::Self self() const { return members_ ? members_->self() : self_; }
+  // The present membership view; only after start(), as stats() and to_json().
   std::shared_ptr<const fleet::View> view() const { return members_->view(timers_.now()); }
   const fleet::Members::Figures& stats() const { return members_->figures(); }
-  // The view for the operators.
+  // The membership view for operators.
   nlohmann::json to_json() const;
+  // Datagrams that the system refused to send.
   std::uint64_t unsent() const { return unsent_; }
 
  private:
   void receive();
-  void drain();
-  void took(std::size_t bytes);
+  void drain_socket();
+  void on_datagram(std::size_t bytes);
   void tick();
-  void act();
-  void tell(const fleet::Verdict& v);
-  void write(const fleet::Members::Datagram& d);
+  void process_output();
+  void log_status_change(const fleet::Verdict& verdict);
+  void write_datagram(const fleet::Members::Datagram& d);
 
   Timers& timers_;
   const GossipConfig config_;
   Callbacks& callbacks_;
   fleet::Self self_;
   std::uint64_t seed_;
-  std::unique_ptr<fleet::Members> members_;  // none: not started yet
-  std::map<Udp::endpoint, fleet::MemberId> known_;
+  std::unique_ptr<fleet::Members> members_;  // null until started
+  std::map<Udp::endpoint, fleet::MemberId> members_by_address_;
   asio::basic_datagram_socket<Udp, Executor> socket_;
-  std::array<std::uint8_t, 2 * fleet::kMostBytes> space_{};
+  std::array<std::uint8_t, 2 * fleet::kMostBytes> receive_buffer_{};
   Udp::endpoint sender_;
-  Timers::Handle due_;
-  std::uint64_t told_version_ = 0, unsent_ = 0;
+  Timers::Handle timer_;
+  std::uint64_t reported_version_ = 0, unsent_ = 0;
   fleet::Standing standing_ = fleet::Standing::majority;
   bool conflicted_ = false;
 };
--- a/src/node/http_session.cpp
+++ b/src/node/http_session.cpp
@@ -373,7 +373,8 @@
 // A client that leaves is no event; any other end without a whole answer is.
 void HttpSession::log_unanswered(SessionEndReason why) const {
   if (why == SessionEndReason::client_closed) {
-    if (log::follows_requests()) log::request("clients", "client left", {{"request", request_id_}});
+    if (log::is_request_logging_enabled())
+      log::request("clients", "client left", {{"request", request_id_}});
     return;
   }
   log::warning("clients", "connection ended without a whole answer",
--- a/src/node/job_service.cpp
+++ b/src/node/job_service.cpp
@@ -17,11 +17,11 @@
 using fleet::LineOutcome;
 using fleet::ShardId;
 
-constexpr std::string_view kPath = "/jobs";
+constexpr std::string_view kJobsPath = "/jobs";
 constexpr std::size_t kIdDigits = sizeof "00000000000000" - 1;    // 56 bits
 constexpr std::size_t kPrefixDigits = sizeof "000000000000" - 1;  // 48 bits
 
-std::optional<std::uint64_t> number_in(std::string_view text, int base) {
+std::optional<std::uint64_t> parse_number(std::string_view text, int base) {
   std::uint64_t n = 0;
   const auto [end, failed] = std::from_chars(text.data(), text.data() + text.size(), n, base);
   if (text.empty() || failed != std::errc{} || end != text.data() + text.size())
@@ -30,34 +30,35 @@
 }
 std::uint64_t digits(const json& o, const char* key, std::size_t count, const char* wanted) {
   const auto& t = text(o, key);
-  const auto n = number_in(t, 16);
+  const auto n = parse_number(t, 16);
   if (t.size() != count || !n) fail_field(key, wanted);
   return *n;
 }
-std::string id_text(JobId id) {
+std::string format_job_id(JobId id) {
   std::array<char, kIdDigits + 1> t{};
   std::snprintf(t.data(), t.size(), "%014llx", static_cast<unsigned long long>(id));
   return t.data();
 }
-std::string request_text(std::uint64_t id) {
+std::string format_request_id(std::uint64_t id) {
   std::array<char, facts::kCustomerDigits + 1> t{};
   std::snprintf(t.data(), t.size(), "%016llx", static_cast<unsigned long long>(id));
   return t.data();
 }
 
-AdminServer::AdminResponse told(http::status status, json body) {
+AdminServer::AdminResponse json_response(http::status status, json body) {
   return {static_cast<unsigned>(status),
           body.dump(-1, ' ', false, json::error_handler_t::replace) + "\n",
           "application/json",
           {},
           {}};
 }
-AdminServer::AdminResponse why(http::status status, const std::string& text) {
-  return told(status, {{"why", text}});
+AdminServer::AdminResponse error_response(http::status status, const std::string& text) {
+  return json_response(status, {{"why", text}});
 }
 
-// What a call waits for a shard to be held is what its caller may wait.
-fleet::JobTerms terms() {
+// A call may wait for a shard's lease as long as the admin server waits for a response that depends
+// on other nodes, less the time for the call itself.
+fleet::JobTerms job_config() {
   fleet::JobTerms t;
   t.waits = facts::kControlWait - facts::kControlCall;
   return t;
@@ -65,7 +66,7 @@
 
 }  // namespace
 
-fleet::JobSpec job_of(const std::string& body) {
+fleet::JobSpec parse_job(const std::string& body) {
   const auto j = json::parse(body, nullptr, false);
   if (j.is_discarded()) throw FieldError("the body is not JSON");
   object_of(j, "job");
@@ -99,152 +100,158 @@
   return s;
 }
 
-// One line that is out: takes its answer whole, within what an answer may have.
-class JobService::Line final : public ResponseSink {
+// Collects the response to one task in flight, up to the size limit of a response.
+class JobService::TaskSink final : public ResponseSink {
  public:
-  Line(JobService& desk, std::uint64_t token) : desk_(&desk), token_(token) {}
-  void forget() { desk_ = nullptr; }
-  bool client_is_connected() override { return desk_ != nullptr; }
+  TaskSink(JobService& service, std::uint64_t token) : service_(&service), token_(token) {}
+  void detach() { service_ = nullptr; }
+  bool client_is_connected() override { return service_ != nullptr; }
 
   void send(const Response& a) override {
-    if (a.status == http::status::ok) return over({LineOutcome::Kind::served, a.body, {}});
+    if (a.status == http::status::ok) return report({LineOutcome::Kind::served, a.body, {}});
     if (a.status == http::status::too_many_requests ||
         a.status == http::status::service_unavailable)
-      return over({LineOutcome::Kind::refused, {}, a.retry_after});
-    over({LineOutcome::Kind::unknown, {}, {}});
+      return report({LineOutcome::Kind::refused, {}, a.retry_after});
+    report({LineOutcome::Kind::unknown, {}, {}});
   }
   void begin_stream(const ResponseHead&) override {}
-  void write_chunk(std::string_view piece, std::function<void()> taken) override {
-    too_long_ = too_long_ || body_.size() + piece.size() > facts::kMaxBody;
-    if (!too_long_) body_ += piece;
-    taken();
+  void write_chunk(std::string_view chunk, std::function<void()> on_written) override {
+    too_long_ = too_long_ || body_.size() + chunk.size() > facts::kMaxBody;
+    if (!too_long_) body_ += chunk;
+    on_written();
   }
   void end_stream() override {
-    if (too_long_) return over({LineOutcome::Kind::failed, {}, {}});
-    over({LineOutcome::Kind::served, std::move(body_), {}});
+    if (too_long_) return report({LineOutcome::Kind::failed, {}, {}});
+    report({LineOutcome::Kind::served, std::move(body_), {}});
   }
-  void abort() override { over({LineOutcome::Kind::unknown, {}, {}}); }
+  void abort() override { report({LineOutcome::Kind::unknown, {}, {}}); }
 
  private:
-  void over(LineOutcome outcome) {
-    if (auto* desk = std::exchange(desk_, nullptr)) desk->line_ended(token_, std::move(outcome));
+  void report(LineOutcome outcome) {
+    if (auto* service = std::exchange(service_, nullptr))
+      service->on_task_ended(token_, std::move(outcome));
   }
-  JobService* desk_;  // none: nobody waits any more
+  JobService* service_;  // null once the outcome is reported or the service is destroyed
   std::uint64_t token_;
   std::string body_;
   bool too_long_ = false;
 };
 
-JobService::JobService(Timers& timers, ClusterState& shared, std::size_t first_duty,
-                       Callbacks& owner)
+JobService::JobService(Timers& timers, ClusterState& cluster_state, std::size_t first_lease,
+                       Callbacks& callbacks)
     : timers_(timers),
-      shared_(shared),
-      first_duty_(first_duty),
-      callbacks_(owner),
-      jobs_(terms(), *this) {}
+      cluster_state_(cluster_state),
+      first_lease_(first_lease),
+      callbacks_(callbacks),
+      jobs_(job_config(), *this) {}
 
 JobService::~JobService() {
-  timers_.cancel(due_);
-  for (const auto& [token, line] : lines_) line->forget();
+  timers_.cancel(timer_);
+  for (const auto& [token, task] : tasks_) task->detach();
 }
 
-std::vector<std::string> JobService::duties() {
+std::vector<std::string> JobService::lease_names() {
   std::vector<std::string> names;
   names.reserve(fleet::kShards);
   for (unsigned s = 0; s < fleet::kShards; ++s) names.push_back("jobs/" + std::to_string(s));
   return names;
 }
 
-// ---- Calls --------------------------------------------------------------------------------------
+// ---- Admin requests -----------------------------------------------------------------------------
 
-fleet::CallId JobService::wait(const AdminServer::AdminRequest& ask,
-                               const AdminServer::AdminCallback& answered) {
-  calls_[++last_call_] = {answered, ask.path + (ask.query.empty() ? "" : "?" + ask.query)};
-  return fleet::CallId(last_call_);
+fleet::CallId JobService::add_call(const AdminServer::AdminRequest& request,
+                                   const AdminServer::AdminCallback& on_response) {
+  calls_[++last_call_id_] = {on_response,
+                             request.path + (request.query.empty() ? "" : "?" + request.query)};
+  return fleet::CallId(last_call_id_);
 }
 
-void JobService::hand_in(const AdminServer::AdminRequest& ask,
-                         const AdminServer::AdminCallback& answered) {
+void JobService::submit(const AdminServer::AdminRequest& request,
+                        const AdminServer::AdminCallback& on_response) {
   try {
-    const auto spec = job_of(ask.body);
-    ++stats_.handed_in;
-    jobs_.hand_in(timers_.now(), wait(ask, answered), spec);
+    const auto spec = parse_job(request.body);
+    ++stats_.submitted;
+    jobs_.hand_in(timers_.now(), add_call(request, on_response), spec);
   } catch (const FieldError& x) {
-    answered(why(http::status::bad_request, x.what()));
+    on_response(error_response(http::status::bad_request, x.what()));
   }
 }
 
-bool JobService::on_admin_request(const AdminServer::AdminRequest& ask,
-                                  const AdminServer::AdminCallback& answered) {
-  if (!ask.path.starts_with(kPath)) return false;
-  auto rest = std::string_view(ask.path).substr(kPath.size());
+bool JobService::on_admin_request(const AdminServer::AdminRequest& request,
+                                  const AdminServer::AdminCallback& on_response) {
+  if (!request.path.starts_with(kJobsPath)) return false;
+  auto rest = std::string_view(request.path).substr(kJobsPath.size());
   if (!rest.empty() && rest.front() != '/') return false;
-  const auto not_by = [&](const char* allowed) {
-    auto r = why(http::status::method_not_allowed, "the method does not go with the path");
+  const auto method_not_allowed = [&](const char* allowed) {
+    auto r = error_response(http::status::method_not_allowed,
+                            "the method does not go with the path");
     r.allow = allowed;
-    answered(std::move(r));
+    on_response(std::move(r));
     return true;
   };
-  if (!shared_.started())
-    return answered(why(http::status::service_unavailable, "not serving yet")), true;
+  if (!cluster_state_.started())
+    return on_response(error_response(http::status::service_unavailable, "not serving yet")), true;
   settings_ = callbacks_.current_settings();
   if (rest.empty()) {
-    if (ask.method != "POST") return not_by("POST");
-    hand_in(ask, answered);
+    if (request.method != "POST") return method_not_allowed("POST");
+    submit(request, on_response);
     return run(), true;
   }
   rest.remove_prefix(1);
   const auto slash = rest.find('/');
-  const auto id = number_in(rest.substr(0, slash), 16);
-  const auto what = slash == std::string_view::npos ? std::string_view() : rest.substr(slash + 1);
+  const auto id = parse_number(rest.substr(0, slash), 16);
+  const auto subresource = slash == std::string_view::npos ? std::string_view()
+                                                           : rest.substr(slash + 1);
   if (rest.substr(0, slash).size() != kIdDigits || !id ||
-      (slash != std::string_view::npos && what != "answers"))
-    return answered(why(http::status::not_found, "a job's id has 14 hex digits")), true;
+      (slash != std::string_view::npos && subresource != "answers"))
+    return on_response(error_response(http::status::not_found, "a job id has 14 hex digits")), true;
   const Time now = timers_.now();
-  if (what == "answers") {
-    if (ask.method != "GET") return not_by("GET");
-    const auto text = ask.parameter("from");
-    const auto from = number_in(text.value_or("0"), 10);
+  if (subresource == "answers") {
+    if (request.method != "GET") return method_not_allowed("GET");
+    const auto text = request.parameter("from");
+    const auto from = parse_number(text.value_or("0"), 10);
     if (!from || *from > fleet::kMostLines)
-      return answered(why(http::status::bad_request, "from: a line's number is needed")), true;
-    jobs_.fetch(now, wait(ask, answered), JobId(*id), static_cast<std::uint32_t>(*from));
+      return on_response(
+                 error_response(http::status::bad_request, "from: a line number is needed")),
+             true;
+    jobs_.fetch(now, add_call(request, on_response), JobId(*id), static_cast<std::uint32_t>(*from));
     return run(), true;
   }
-  if (ask.method == "DELETE") {
-    jobs_.remove(now, wait(ask, answered), JobId(*id));
+  if (request.method == "DELETE") {
+    jobs_.remove(now, add_call(request, on_response), JobId(*id));
     return run(), true;
   }
-  if (ask.method != "GET") return not_by("GET, DELETE");
+  if (request.method != "GET") return method_not_allowed("GET, DELETE");
   const auto state = jobs_.state(now, JobId(*id));
-  answered(state ? described(JobId(*id), *state)
-                 : why(http::status::not_found, "no such job is known here"));
+  on_response(state ? describe(JobId(*id), *state)
+                    : error_response(http::status::not_found, "no such job is known here"));
   return true;
 }
 
-AdminServer::AdminResponse JobService::described(JobId id, const fleet::JobState& state) const {
+AdminServer::AdminResponse JobService::describe(JobId id, const fleet::JobState& state) const {
   json counts = json::object(), runs = json::array();
   for (std::size_t s = 0; s < state.counts.size(); ++s)
     if (state.counts[s] > 0) counts[fleet::name_of(fleet::LineState(s))] = state.counts[s];
   for (const auto& r : state.runs)
     runs.push_back({{"first", r.first}, {"count", r.count}, {"state", fleet::name_of(r.state)}});
-  json j = {{"id", id_text(id)},          {"state", fleet::name_of(state.kind)},
+  json j = {{"id", format_job_id(id)},    {"state", fleet::name_of(state.kind)},
             {"lines", std::move(counts)}, {"runs", std::move(runs)},
             {"told", state.marks.told},   {"rerun", state.marks.rerun},
             {"here", state.held}};
-  if (const auto holder = shared_.holder(duty(fleet::shard_of(id))))
+  if (const auto holder = cluster_state_.holder(lease_of(fleet::shard_of(id))))
     j["holder"] = fleet::index_of(holder->node), j["epoch"] = holder->epoch;
-  return told(http::status::ok, std::move(j));
+  return json_response(http::status::ok, std::move(j));
 }
 
 void JobService::reply(fleet::CallId call, const JobReply& reply) {
   auto node = calls_.extract(static_cast<std::uint64_t>(call));
   if (!node) return;
-  const auto& w = node.mapped();
+  const auto& pending = node.mapped();
   const auto send = [&](http::status status, json extra = json::object()) {
     if (!reply.text.empty()) extra["why"] = reply.text;
-    w.answered(told(status, std::move(extra)));
+    pending.on_response(json_response(status, std::move(extra)));
   };
-  const json id = {{"id", id_text(reply.id)}};
+  const json id = {{"id", format_job_id(reply.id)}};
   switch (reply.kind) {
     case JobReply::Kind::accepted: return send(http::status::accepted, id);
     case JobReply::Kind::removed: return send(http::status::ok, id);
@@ -257,9 +264,9 @@
       const auto at = reply.holder ? callbacks_.admin_address_of(*reply.holder) : std::nullopt;
       if (!at) return send(http::status::service_unavailable);
       json extra = {{"holder", fleet::index_of(*reply.holder)}, {"why", reply.text}};
-      auto r = told(http::status::temporary_redirect, std::move(extra));
-      r.location = "http://" + *at + w.path;
-      return w.answered(std::move(r));
+      auto r = json_response(http::status::temporary_redirect, std::move(extra));
+      r.location = "http://" + *at + pending.path;
+      return pending.on_response(std::move(r));
     }
     case JobReply::Kind::answers: break;
   }
@@ -272,50 +279,51 @@
   send(http::status::ok, {{"answers", std::move(answers)}, {"next", reply.next}});
 }
 
-// ---- What jobs need -----------------------------------------------------------------------------
+// ---- JobHost ------------------------------------------------------------------------------------
 
 std::optional<fleet::JobHold> JobService::may_act(ShardId shard) {
-  const auto h = shared_.hold(duty(shard));
+  const auto h = cluster_state_.tenure(lease_of(shard));
   if (!h) return std::nullopt;
-  return fleet::JobHold{h->epoch, h->since};
+  return fleet::JobHold{h->term, h->first_term};
 }
 
-// Or who is to hold it soon, as that one claims it first; none: this node itself.
+// Returns the holder, or else the node expected to claim the shard's lease first; none if that is
+// this node.
 std::optional<fleet::MemberId> JobService::holder(ShardId shard) {
-  const auto h = shared_.holder(duty(shard));
-  const auto node = h ? std::optional(h->node) : shared_.expected(duty(shard));
-  return node != shared_.config().self ? node : std::nullopt;
+  const auto h = cluster_state_.holder(lease_of(shard));
+  const auto node = h ? std::optional(h->node) : cluster_state_.expected_holder(lease_of(shard));
+  return node != cluster_state_.config().self ? node : std::nullopt;
 }
 
-// Whatever the holder before wrote it wrote before this node's first term; by the time that news
-// takes to go round it is here.
+// The former holder wrote everything before this node's first term, so its records have arrived
+// here once the time that records take to spread has passed.
 bool JobService::complete(ShardId shard) {
   const Time now = timers_.now();
-  const auto h = shared_.hold(duty(shard));
-  return h && shared_.records().caught_up(now) &&
-         now >= h->began + shared_.config().records.spread();
+  const auto h = cluster_state_.tenure(lease_of(shard));
+  return h && cluster_state_.mutable_store().caught_up(now) &&
+         now >= h->start_time + cluster_state_.config().store.spread();
 }
 
 void JobService::put(std::uint64_t token, const fleet::RecordKey& key, std::uint64_t epoch,
                      std::uint32_t ends, std::optional<std::string> value) {
-  auto& records = shared_.records();
+  auto& records = cluster_state_.mutable_store();
   const Time now = timers_.now();
-  wrote_ = true;
-  const auto done = value ? records.put(now, key, epoch, ends, std::move(*value))
-                          : records.erase(now, key, epoch, ends);
-  if (done.kind == fleet::Records::Put::Kind::taken)
-    writes_[done.ticket] = token;
+  has_written_ = true;
+  const auto result = value ? records.put(now, key, epoch, ends, std::move(*value))
+                            : records.erase(now, key, epoch, ends);
+  if (result.kind == fleet::Records::Put::Kind::taken)
+    writes_[result.ticket] = token;
   else
-    refused_.push_back(token);
+    rejected_writes_.push_back(token);
 }
 
 std::optional<fleet::Record> JobService::find(const fleet::RecordKey& key) {
-  const auto* r = shared_.records().stored(key);
+  const auto* r = cluster_state_.mutable_store().stored(key);
   return r != nullptr ? std::optional(*r) : std::nullopt;
 }
 
 void JobService::each(const std::function<void(const fleet::Record&)>& see) {
-  shared_.records().each(fleet::kJobSpace, see);
+  cluster_state_.mutable_store().each(fleet::kJobSpace, see);
 }
 
 const RequestClass* JobService::class_of(const std::string& name) const {
@@ -340,18 +348,19 @@
 std::uint32_t JobService::room() { return stopped_ ? 0 : callbacks_.best_effort_capacity(); }
 std::optional<double> JobService::pace(JobId) { return std::nullopt; }
 
-// As a client would send it, through any of the nodes: nothing is known of a set.
+// Sends the task as its client would. The customer's requests may come through any node of the
+// fleet, since no smaller set of nodes is known for them.
 void JobService::send(const fleet::JobLine& line) {
   const auto& spec = *line.spec;
   const auto cls = std::ranges::find(settings_->classes, spec.request_class, &RequestClass::name);
   const auto plan = std::ranges::find(settings_->plans, spec.plan, &Plan::name);
   if (stopped_ || cls == settings_->classes.end() || plan == settings_->plans.end()) {
-    // Told later: the caller is in the midst of its own table.
-    const auto end = [this, token = line.token] {
-      line_ended(token, {LineOutcome::Kind::refused, {}, {}});
+    // Reported later, as the caller is still updating its table.
+    const auto report_refused = [this, token = line.token] {
+      on_task_ended(token, {LineOutcome::Kind::refused, {}, {}});
     };
-    lines_[line.token] = std::make_shared<Line>(*this, line.token);
-    return void(timers_.after({}, end));
+    tasks_[line.token] = std::make_shared<TaskSink>(*this, line.token);
+    return void(timers_.after({}, report_refused));
   }
   ClientRequest r;
   r.settings = settings_;
@@ -366,72 +375,74 @@
   r.deadline = timers_.now() + cls->deadline;
   r.method = cls->idempotency == Idempotency::idempotent ? http::verb::get : http::verb::post;
   r.target = spec.path_of(line.line);
-  r.request_id = request_text(line.request);
+  r.request_id = format_request_id(line.request);
   if (cls->idempotency == Idempotency::idempotency_key) r.idempotency_key = r.request_id;
   ++stats_.sent;
-  // It may be answered at once: only when the caller is done with its table.
-  auto sink = lines_[line.token] = std::make_shared<Line>(*this, line.token);
+  // The response may arrive before this returns; it is processed when the caller has finished with
+  // its table.
+  auto sink = tasks_[line.token] = std::make_shared<TaskSink>(*this, line.token);
   callbacks_.send_request(std::move(r), std::move(sink));
 }
 
-void JobService::line_ended(std::uint64_t token, LineOutcome outcome) {
-  if (lines_.erase(token) == 0) return;
+void JobService::on_task_ended(std::uint64_t token, LineOutcome outcome) {
+  if (tasks_.erase(token) == 0) return;
   switch (outcome.kind) {
     case LineOutcome::Kind::served: ++stats_.served; break;
     case LineOutcome::Kind::refused: ++stats_.refused; break;
     case LineOutcome::Kind::failed: ++stats_.failed; break;
     case LineOutcome::Kind::unknown: ++stats_.unknown; break;
   }
-  ended_.emplace_back(token, std::move(outcome));
+  task_outcomes_.emplace_back(token, std::move(outcome));
   run();
 }
 
-// ---- The course ---------------------------------------------------------------------------------
+// ---- Event processing ---------------------------------------------------------------------------
 
-bool JobService::on_record_outcome(const fleet::Records::Outcome& o) {
-  const auto node = writes_.extract(o.ticket);
+bool JobService::on_record_outcome(const fleet::Records::Outcome& outcome) {
+  const auto node = writes_.extract(outcome.ticket);
   if (!node) return false;
-  outcomes_.emplace_back(node.mapped(), o.safe);
+  write_outcomes_.emplace_back(node.mapped(), outcome.safe);
   return true;
 }
 
-void JobService::on_state_changed(bool records) {
-  if (records || !outcomes_.empty()) run();
+void JobService::on_state_changed(bool records_changed) {
+  if (records_changed || !write_outcomes_.empty()) run();
 }
 
-// What came while jobs were at work is told after it: they look at one thing at a time.
+// Events that arrive during a call into jobs_ are queued and passed on after it, since jobs_
+// handles one event at a time.
 void JobService::run() {
   if (running_) return;
   running_ = true;
   settings_ = callbacks_.current_settings();
   const Time now = timers_.now();
   jobs_.tick(now);
-  while (!refused_.empty() || !outcomes_.empty() || !ended_.empty()) {
-    for (const auto token : std::exchange(refused_, {})) jobs_.put_ended(now, token, false);
-    for (const auto& [token, safe] : std::exchange(outcomes_, {}))
+  while (!rejected_writes_.empty() || !write_outcomes_.empty() || !task_outcomes_.empty()) {
+    for (const auto token : std::exchange(rejected_writes_, {})) jobs_.put_ended(now, token, false);
+    for (const auto& [token, safe] : std::exchange(write_outcomes_, {}))
       jobs_.put_ended(now, token, safe);
-    for (auto& [token, outcome] : std::exchange(ended_, {}))
+    for (auto& [token, outcome] : std::exchange(task_outcomes_, {}))
       jobs_.line_ended(now, token, std::move(outcome));
     jobs_.tick(now);
   }
   for (unsigned s = 0; s < fleet::kShards; ++s) {
-    const bool wanted = jobs_.wants(ShardId(static_cast<std::uint8_t>(s)));
-    if (wanted) wanted_until_[s] = now + facts::kShardKept;
-    shared_.want(first_duty_ + s, wanted || now < wanted_until_[s]);
+    const bool is_wanted = jobs_.wants(ShardId(static_cast<std::uint8_t>(s)));
+    if (is_wanted) keep_lease_until_[s] = now + facts::kShardKept;
+    cluster_state_.set_candidate(first_lease_ + s, is_wanted || now < keep_lease_until_[s]);
   }
   running_ = false;
-  if (std::exchange(wrote_, false)) shared_.on_records_written();
-  arm();
-}
-
-// Only while there is something to do: else Shared tells of whatever comes.
-void JobService::arm() {
-  timers_.cancel(due_);
-  const bool busy = std::ranges::any_of(wanted_until_,
-                                        [now = timers_.now()](Time t) { return now < t; });
-  if (!busy) return;
-  due_ = timers_.after(facts::kJobsLook, [this] {
-    due_.reset();
+  if (std::exchange(has_written_, false)) cluster_state_.on_records_written();
+  arm_timer();
+}
+
+// Runs periodically only while a shard is in use: otherwise ClusterState reports every change.
+void JobService::arm_timer() {
+  timers_.cancel(timer_);
+  const bool in_use = std::ranges::any_of(keep_lease_until_,
+                                          [now = timers_.now()](Time t) { return now < t; });
+  if (!in_use) return;
+  timer_ = timers_.after(facts::kJobsLook, [this] {
+    timer_.reset();
     run();
   });
 }
--- a/src/node/job_service.hpp
+++ b/src/node/job_service.hpp
@@ -1,5 +1,6 @@
-// Batch jobs of this node: calls on the control address, lines sent in the client's name, records
-// and rights. What is decided is decided in src/fleet/jobs; docs/jobs.md.
+// Runs batch jobs on this node: serves the /jobs paths of the admin server, sends the tasks of jobs
+// as client requests, and connects the scheduler in src/fleet/jobs, which decides, to leases and
+// records. Owned by Coordination, on the thread of the io_context. See docs/jobs.md.
 #pragma once
 
 #include <functional>
@@ -20,43 +21,46 @@
 class JobService : private fleet::JobHost {
  public:
   struct Callbacks {
-    // Sends a request that a client asked for through a job; its outcome goes to the asker.
+    // Sends a job's request as if it came from its client; the response goes to `sink`.
     virtual void send_request(ClientRequest request, std::shared_ptr<ResponseSink> sink) = 0;
-    // Requests beyond those of clients that may be open now.
+    // How many requests may be in flight now in addition to those of clients.
     virtual std::uint32_t best_effort_capacity() = 0;
     virtual std::shared_ptr<const Settings> current_settings() const = 0;
-    // Where a node's operators call; none: not known.
+    // The address of a node's admin server, if known.
     virtual std::optional<std::string> admin_address_of(fleet::MemberId node) const = 0;
 
    protected:
     ~Callbacks() = default;
   };
+  // Jobs submitted here, and tasks by outcome.
   struct Stats {
-    std::uint64_t handed_in = 0, sent = 0, served = 0, refused = 0, failed = 0, unknown = 0;
+    std::uint64_t submitted = 0, sent = 0, served = 0, refused = 0, failed = 0, unknown = 0;
   };
 
-  // The duty of shard s is `first_duty` + s.
-  JobService(Timers& timers, ClusterState& shared, std::size_t first_duty, Callbacks& owner);
+  // The lease of shard s has the index `first_lease` + s.
+  JobService(Timers& timers, ClusterState& cluster_state, std::size_t first_lease,
+             Callbacks& callbacks);
   ~JobService();
   JobService(const JobService&) = delete;
   JobService& operator=(const JobService&) = delete;
 
-  static std::vector<std::string> duties();
-  // A call on the control address; false: its path is none of jobs'.
-  bool on_admin_request(const AdminServer::AdminRequest& ask,
-                        const AdminServer::AdminCallback& answered);
-  // Rights may have changed; `records`: records of jobs have.
-  void on_state_changed(bool records);
-  // An outcome of Shared's records; false: it is not this desk's.
-  bool on_record_outcome(const fleet::Records::Outcome& o);
-  // This process leaves: it sends no further lines.
+  // The names of the leases, one for each shard.
+  static std::vector<std::string> lease_names();
+  // Handles a request to the admin server. Returns false if the path is not below /jobs.
+  bool on_admin_request(const AdminServer::AdminRequest& request,
+                        const AdminServer::AdminCallback& on_response);
+  // Called when leases may have changed; `records_changed`: job records have.
+  void on_state_changed(bool records_changed);
+  // Called with the outcome of a write. Returns false if this service did not start the write.
+  bool on_record_outcome(const fleet::Records::Outcome& outcome);
+  // Called before this process ends: sends no further tasks.
   void stop() { stopped_ = true; }
 
   const Stats& stats() const { return stats_; }
   const fleet::Jobs& jobs() const { return jobs_; }
 
  private:
-  class Line;
+  class TaskSink;
 
   std::optional<fleet::JobHold> may_act(fleet::ShardId shard) override;
   std::optional<fleet::MemberId> holder(fleet::ShardId shard) override;
@@ -74,43 +78,47 @@
   std::uint32_t unix_time(Time now) override;
   void reply(fleet::CallId call, const fleet::JobReply& reply) override;
 
-  std::size_t duty(fleet::ShardId s) const { return first_duty_ + static_cast<std::size_t>(s); }
+  std::size_t lease_of(fleet::ShardId s) const {
+    return first_lease_ + static_cast<std::size_t>(s);
+  }
   const RequestClass* class_of(const std::string& name) const;
-  fleet::CallId wait(const AdminServer::AdminRequest& ask,
-                     const AdminServer::AdminCallback& answered);
-  void hand_in(const AdminServer::AdminRequest& ask, const AdminServer::AdminCallback& answered);
-  AdminServer::AdminResponse described(fleet::JobId id, const fleet::JobState& state) const;
-  void line_ended(std::uint64_t token, fleet::LineOutcome outcome);
+  fleet::CallId add_call(const AdminServer::AdminRequest& request,
+                         const AdminServer::AdminCallback& on_response);
+  void submit(const AdminServer::AdminRequest& request,
+              const AdminServer::AdminCallback& on_response);
+  AdminServer::AdminResponse describe(fleet::JobId id, const fleet::JobState& state) const;
+  void on_task_ended(std::uint64_t token, fleet::LineOutcome outcome);
   void run();
-  void arm();
+  void arm_timer();
 
-  struct Waiting {
-    AdminServer::AdminCallback answered;
-    std::string path;  // with its query, for a Location
+  struct PendingCall {
+    AdminServer::AdminCallback on_response;
+    std::string path;  // with the query, for a Location header
   };
 
   Timers& timers_;
-  ClusterState& shared_;
-  std::size_t first_duty_;
+  ClusterState& cluster_state_;
+  std::size_t first_lease_;
   Callbacks& callbacks_;
-  std::shared_ptr<const Settings> settings_;  // while a call into jobs_ lasts, and for class_of()
+  // Settings during a call into jobs_, and for class_of().
+  std::shared_ptr<const Settings> settings_;
   std::unordered_map<std::uint64_t, std::uint64_t> writes_;  // tokens by ticket
-  // What came and is not told yet: tokens of writes that were turned down, of writes, of lines.
-  std::vector<std::uint64_t> refused_;
-  std::vector<std::pair<std::uint64_t, bool>> outcomes_;
-  std::vector<std::pair<std::uint64_t, fleet::LineOutcome>> ended_;
-  std::map<std::uint64_t, Waiting> calls_;
-  std::map<std::uint64_t, std::shared_ptr<Line>> lines_;  // that are out, by token
-  std::array<Time, fleet::kShards>
-      wanted_until_{};  // a shard is kept for a while after its last use
-  std::uint64_t last_call_ = 0;
-  bool stopped_ = false, running_ = false, wrote_ = false;
-  Timers::Handle due_;
+  // Events not yet passed to jobs_: tokens of rejected writes, outcomes of writes and of tasks.
+  std::vector<std::uint64_t> rejected_writes_;
+  std::vector<std::pair<std::uint64_t, bool>> write_outcomes_;
+  std::vector<std::pair<std::uint64_t, fleet::LineOutcome>> task_outcomes_;
+  std::map<std::uint64_t, PendingCall> calls_;
+  std::map<std::uint64_t, std::shared_ptr<TaskSink>> tasks_;  // in flight, by token
+  // A shard's lease is kept until this time after the shard's last use.
+  std::array<Time, fleet::kShards> keep_lease_until_{};
+  std::uint64_t last_call_id_ = 0;
+  bool stopped_ = false, running_ = false, has_written_ = false;
+  Timers::Handle timer_;
   Stats stats_;
   fleet::Jobs jobs_;
 };
 
-// A job as POST /jobs has it. Throws reading::FieldError, naming the field.
-fleet::JobSpec job_of(const std::string& body);
+// Parses the body of POST /jobs. Throws reading::FieldError, naming the field.
+fleet::JobSpec parse_job(const std::string& body);
 
 }  // namespace petrelrail
--- a/src/node/log.cpp
+++ b/src/node/log.cpp
@@ -15,23 +15,23 @@
 namespace petrelrail::log {
 namespace {
 
-constexpr const char* kText = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
-constexpr const char* kJson = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
+constexpr const char* kTextPattern = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
+constexpr const char* kJsonPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
 
 struct State {
-  Form form = Form::text;
+  Format format = Format::text;
   std::string node;
-  std::shared_ptr<spdlog::logger> out;
-  RateLimiter bound{facts::kLogBurst, facts::kLogRate};
-  bool requests = false;  // whether events of single requests are written
-  Stats figures;
-
-  State() { renew(); }
-  void renew() {
-    out = std::make_shared<spdlog::logger>("petrelrail",
-                                           std::make_shared<spdlog::sinks::stderr_sink_st>());
-    out->set_formatter(std::make_unique<spdlog::pattern_formatter>(
-        form == Form::json ? kJson : kText, spdlog::pattern_time_type::utc));
+  std::shared_ptr<spdlog::logger> logger;
+  RateLimiter limiter{facts::kLogBurst, facts::kLogRate};
+  bool logs_requests = false;
+  Stats stats;
+
+  State() { reset_logger(); }
+  void reset_logger() {
+    logger = std::make_shared<spdlog::logger>("petrelrail",
+                                              std::make_shared<spdlog::sinks::stderr_sink_st>());
+    logger->set_formatter(std::make_unique<spdlog::pattern_formatter>(
+        format == Format::json ? kJsonPattern : kTextPattern, spdlog::pattern_time_type::utc));
   }
 };
 
@@ -40,71 +40,75 @@
   return s;
 }
 
-std::string in_quotes(std::string_view text) {
+std::string quote_json(std::string_view text) {
   return nlohmann::json(std::string(text))
       .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-void put(State& s, spdlog::level::level_enum level, std::string_view part, std::string_view text,
-         std::initializer_list<Value> values) {
-  ++s.figures.lines;
-  s.out->log(level, spdlog::string_view_t(line_of(s.form, s.node, part, text, values)));
+void write_line(State& s, spdlog::level::level_enum level, std::string_view part,
+                std::string_view text, std::initializer_list<Value> values) {
+  ++s.stats.lines;
+  s.logger->log(level, spdlog::string_view_t(format_line(s.format, s.node, part, text, values)));
 }
 
 }  // namespace
 
-Form form_of(std::string_view word) {
-  if (word == "text") return Form::text;
-  if (word == "json") return Form::json;
-  throw std::invalid_argument("the log is \"text\" or \"json\", not \"" + std::string(word) + "\"");
+Format parse_format(std::string_view text) {
+  if (text == "text") return Format::text;
+  if (text == "json") return Format::json;
+  throw std::invalid_argument("the log is \"text\" or \"json\", not \"" + std::string(text) + "\"");
 }
 
-void set_up(Form form, std::string node) {
+void configure(Format format, std::string node) {
   auto& s = state();
-  s.form = form, s.node = std::move(node);
-  s.renew();
+  s.format = format, s.node = std::move(node);
+  s.reset_logger();
 }
 
-void log_requests(bool wanted) { state().requests = wanted; }
-bool follows_requests() { return state().requests; }
+void set_request_logging(bool enabled) { state().logs_requests = enabled; }
+bool is_request_logging_enabled() { return state().logs_requests; }
 
 void request(std::string_view part, std::string_view text, std::initializer_list<Value> values) {
-  if (auto& s = state(); s.requests) put(s, spdlog::level::info, part, text, values);
+  if (auto& s = state(); s.logs_requests) write_line(s, spdlog::level::info, part, text, values);
 }
 
-Stats stats() { return state().figures; }
+Stats stats() { return state().stats; }
 
-bool RateLimiter::take(double seconds) {
-  if (at_) saved_ = std::min(burst_, saved_ + per_second_ * std::max(0.0, seconds - *at_));
-  at_ = seconds;
-  if (saved_ < 1) {
+bool RateLimiter::try_acquire(double seconds) {
+  if (last_update_)
+    tokens_ = std::min(burst_, tokens_ + per_second_ * std::max(0.0, seconds - *last_update_));
+  last_update_ = seconds;
+  if (tokens_ < 1) {
     ++dropped_;
     return false;
   }
-  --saved_;
+  --tokens_;
   return true;
 }
 
-std::uint64_t RateLimiter::told() { return std::exchange(dropped_, 0); }
+std::uint64_t RateLimiter::drain_dropped() { return std::exchange(dropped_, 0); }
 
-std::string line_of(Form form, std::string_view node, std::string_view part, std::string_view text,
-                    std::initializer_list<Value> values) {
+std::string format_line(Format format, std::string_view node, std::string_view part,
+                        std::string_view text, std::initializer_list<Value> values) {
   std::string line;
-  if (form == Form::json) {
-    line.append("\"part\":").append(in_quotes(part)).append(",\"text\":").append(in_quotes(text));
-    if (!node.empty()) line.append(",\"node\":").append(in_quotes(node));
+  if (format == Format::json) {
+    line.append("\"part\":").append(quote_json(part)).append(",\"text\":").append(quote_json(text));
+    if (!node.empty()) line.append(",\"node\":").append(quote_json(node));
     for (const auto& v : values)
-      line.append(",").append(in_quotes(v.name)).append(":").append(in_quotes(v.value));
+      line.append(",").append(quote_json(v.name)).append(":").append(quote_json(v.value));
     return line;
   }
   line.append(part).append(": ");
-  // One event stays one line, whatever came in from outside.
+  // Control characters are replaced, so that an event stays on one line whatever text comes from
+  // outside.
   for (const char c : text) line.push_back(static_cast<unsigned char>(c) < ' ' ? ' ' : c);
   for (const auto& v : values) {
-    const bool plain = !v.value.empty() && std::ranges::none_of(v.value, [](unsigned char c) {
-      return c <= ' ' || c == '"' || c == '=';
-    });
-    line.append(" ").append(v.name).append("=").append(plain ? v.value : in_quotes(v.value));
+    const bool needs_no_quotes = !v.value.empty() &&
+                                 std::ranges::none_of(v.value, [](unsigned char c) {
+                                   return c <= ' ' || c == '"' || c == '=';
+                                 });
+    line.append(" ").append(v.name).append("=").append(needs_no_quotes ? v.value
+                                                                       : quote_json(v.value));
   }
   return line;
 }
@@ -115,15 +119,15 @@
   const auto now = std::chrono::duration<double>(
                        std::chrono::steady_clock::now().time_since_epoch())
                        .count();
-  if (!s.bound.take(now)) {
-    ++s.figures.dropped;
+  if (!s.limiter.try_acquire(now)) {
+    ++s.stats.dropped;
     return;
   }
-  if (const auto left_out = s.bound.told(); left_out > 0)
-    put(s, spdlog::level::warn, "log", "lines were left out for their rate",
-        {{"lines", std::to_string(left_out)}});
+  if (const auto dropped = s.limiter.drain_dropped(); dropped > 0)
+    write_line(s, spdlog::level::warn, "log", "lines were left out for their rate",
+               {{"lines", std::to_string(dropped)}});
   constexpr std::array levels{spdlog::level::info, spdlog::level::warn, spdlog::level::err};
-  put(s, levels[static_cast<std::size_t>(level)], part, text, values);
+  write_line(s, levels[static_cast<std::size_t>(level)], part, text, values);
 }
 
 }  // namespace petrelrail::log
--- a/src/node/log.hpp
+++ b/src/node/log.hpp
@@ -1,7 +1,7 @@
-// The log: one line an event on standard error, with time, level, part and named values, as text or
-// as JSON lines. The text of an event is fixed, so that staff can search for it; what varies beside
-// it are the values. Lines are bounded in rate: what is beyond the bound is counted and told of in
-// one line.
+// The process's log: one line per event on standard error, with time, level, part of the program,
+// text and named values, as text or as JSON lines. The text of an event is fixed, so that it can be
+// searched for; values vary. The rate of lines is limited: lines beyond it are counted, and the
+// count is logged in one line. Not thread-safe: for the thread of the io_context.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,19 @@
 namespace petrelrail::log {
 
 enum class Level { info, warning, error };
-enum class Form { text, json };
+enum class Format { text, json };
 
-// Throws std::invalid_argument for a word that names none.
-Form form_of(std::string_view word);
+// Parses "text" or "json"; throws std::invalid_argument for anything else.
+Format parse_format(std::string_view text);
 
 struct Value {
   std::string_view name;
   std::string value;
 };
 
-// For the process, before its first line; `node` is its name in the configuration and goes into
-// every line of JSON.
-void set_up(Form form, std::string node = {});
+// Configures the log of the process. `node` is the node's name in the configuration and is added to
+// every JSON line.
+void configure(Format format, std::string node = {});
 
 void write(Level level, std::string_view part, std::string_view text,
            std::initializer_list<Value> values = {});
@@ -38,37 +38,36 @@
   write(Level::warning, part, text, values);
 }
 
-// Lines for the events in the life of single requests are written only where `log_requests` has
-// asked for them, and then without the bound in rate. `follows_requests` tells before the values of
-// a line are put together.
-void log_requests(bool wanted);
-bool follows_requests();
+// Events of single requests are logged only after set_request_logging(true), and without the rate
+// limit. is_request_logging_enabled() lets callers skip formatting values that would not be logged.
+void set_request_logging(bool enabled);
+bool is_request_logging_enabled();
 void request(std::string_view part, std::string_view text,
              std::initializer_list<Value> values = {});
 
 struct Stats {
-  std::uint64_t lines = 0, dropped = 0;  // written, and left out for their rate
+  std::uint64_t lines = 0, dropped = 0;  // written; dropped by the rate limit
 };
 Stats stats();
 
-// How many lines may be written: a store that fills at a rate. Time is passed in.
+// Token bucket that limits the rate of lines. Time is passed in.
 class RateLimiter {
  public:
   RateLimiter(double burst, double per_second)
-      : burst_(burst), per_second_(per_second), saved_(burst) {}
-  // Whether a line may be written now; `seconds` is any clock's that does not go backwards.
-  bool take(double seconds);
-  // Lines that were turned down since the last call, if one may be told of them now.
-  std::uint64_t told();
+      : burst_(burst), per_second_(per_second), tokens_(burst) {}
+  // Returns whether a line may be written now. `seconds`: the time of any monotonic clock.
+  bool try_acquire(double seconds);
+  // Returns the number of lines dropped since the last call, and resets it.
+  std::uint64_t drain_dropped();
 
  private:
-  double burst_, per_second_, saved_;
-  std::optional<double> at_;
+  double burst_, per_second_, tokens_;
+  std::optional<double> last_update_;
   std::uint64_t dropped_ = 0;
 };
 
-// A line without time and level, as it stands in the log.
-std::string line_of(Form form, std::string_view node, std::string_view part, std::string_view text,
-                    std::initializer_list<Value> values);
+// Formats a line without its time and level.
+std::string format_line(Format format, std::string_view node, std::string_view part,
+                        std::string_view text, std::initializer_list<Value> values);
 
 }  // namespace petrelrail::log
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -40,22 +40,22 @@
   if (node.control) {
     std::ostringstream text;
     text << *node.control;
-    t.control = text.str();
+    t.admin_address = text.str();
   }
-  t.shared.self = fleet::MemberId(static_cast<std::uint16_t>(peers.index));
-  t.shared.zone = peers.zone;
-  t.shared.duties.nodes = t.shared.records.nodes = s.fleet_size;
-  t.shared.duties.clocks = t.shared.duties.counter_timeout = s.counter_timeout;
-  t.shared.records.clocks = s.counter_timeout;
-  t.shared.records.term = t.shared.duties.term();
-  t.shared.records.spaces = facts::kRecordSpaces;
-  t.shared.records.sealed = peers.terms.key.has_value();
+  t.cluster_state.self = fleet::MemberId(static_cast<std::uint16_t>(peers.index));
+  t.cluster_state.zone = peers.zone;
+  t.cluster_state.lease.nodes = t.cluster_state.store.nodes = s.fleet_size;
+  t.cluster_state.lease.clocks = t.cluster_state.lease.counter_timeout = s.counter_timeout;
+  t.cluster_state.store.clocks = s.counter_timeout;
+  t.cluster_state.store.term = t.cluster_state.lease.term();
+  t.cluster_state.store.spaces = facts::kRecordSpaces;
+  t.cluster_state.store.sealed = peers.terms.key.has_value();
   const double others = peers.terms.in_per_s * facts::kOthersShare;
-  t.shared.records.news_per_s = others * facts::kNewsShare;
-  t.shared.records.pull_per_s = std::max(others * facts::kPullShare, 1.0);
+  t.cluster_state.store.news_per_s = others * facts::kNewsShare;
+  t.cluster_state.store.pull_per_s = std::max(others * facts::kPullShare, 1.0);
   try {
-    fleet::validate(t.shared.duties);
-    fleet::validate(t.shared.records);
+    fleet::validate(t.cluster_state.lease);
+    fleet::validate(t.cluster_state.store);
   } catch (const std::invalid_argument& x) {
     throw FieldError(std::string("field 'members': ") + x.what());
   }
@@ -156,7 +156,7 @@
   p.terms.in_per_s = number(object_of(field(settings, "extra"), "extra"), "inbox-per-s");
   p.terms.key = key;
   p.index = s.gateway_index;
-  p.paces = use.pace;
+  p.paces_counter = use.pace;
   p.jobs = use.jobs;
   p.zones.resize(named.names.zones.size());
   for (const auto& [name, number] : named.names.zones) p.zones.at(number) = name;
@@ -224,7 +224,8 @@
   text << "  members " << (n.gossip ? "on" : "off");
   if (n.gossip)
     text << " at " << n.gossip->listen << (n.gossip->terms.key ? ", sealed" : "")
-         << (n.gossip->paces ? ", pace the counter" : "") << (n.coordination ? ", jobs" : "");
+         << (n.gossip->paces_counter ? ", pace the counter" : "")
+         << (n.coordination ? ", jobs" : "");
   text << '\n';
   for (const auto& k : s.classes)
     text << "  class " << k.name << ": aim " << seconds(k.latency_objective) << " s, deadline "
@@ -302,12 +303,12 @@
   }
 }
 
-int run(const Source& source, log::Form form) {
-  log::set_up(form);
+int run(const Source& source, log::Format form) {
+  log::configure(form);
   std::signal(SIGPIPE, SIG_IGN);
   asio::io_context io(1);
   auto config = read_config(source);
-  log::set_up(form, config.node.name);
+  log::configure(form, config.node.name);
   Node node(io, std::move(config.node));
   asio::signal_set signals(io, SIGTERM, SIGINT);
   signals.async_wait([&](const error_code& failed, int) {
@@ -357,10 +358,10 @@
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? EXIT_SUCCESS : facts::kBadInput;
   }
-  log::log_requests(log_requests);
+  log::set_request_logging(log_requests);
   if (only_check) return check(source);
   try {
-    return run(source, log::form_of(form));
+    return run(source, log::parse_format(form));
   } catch (const std::exception& x) {
     log::write(log::Level::error, "node", x.what());
     return EXIT_FAILURE;
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -3,7 +3,7 @@
 namespace petrelrail {
 namespace {
 
-std::string escaped(std::string_view label) {
+std::string escape_label(std::string_view label) {
   std::string text;
   for (const char c : label) {
     if (c == '\n') {
@@ -21,7 +21,7 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
 }
 
-// Puts together the text of /metrics: families, each with its samples. Every name has the prefix
+// Builds the text of /metrics: metric families with their samples. Every name gets the prefix
 // node_.
 class MetricsText {
  public:
@@ -30,7 +30,7 @@
   }
   void counter(const char* name, std::uint64_t value) { single(name, "counter", value); }
   void gauge(const char* name, std::uint64_t value) { single(name, "gauge", value); }
-  // One sample of a family, with its labels as they stand in the text.
+  // Adds one sample to a family; `labels` are formatted and escaped already.
   void sample(const char* name, const std::string& labels, std::uint64_t value) {
     text_.append("node_").append(name).append("{").append(labels).append("} ");
     text_.append(std::to_string(value)).append("\n");
@@ -41,7 +41,7 @@
     labels.append("=\"").append(label_value).append("\"");
     sample(name, labels, value);
   }
-  // A family with a sample for each value of an enumeration.
+  // Adds a family with one sample for each value of an enumeration.
   template <class Names, class Counts>
   void by_name(const char* name, const char* label, const Names& names, const Counts& counts) {
     family(name, "counter");
@@ -106,8 +106,8 @@
 }
 
 void write_leases(MetricsText& out, const ClusterState& state) {
-  const auto stats = state.duty_figures();
-  out.gauge("duties_held", state.held());
+  const auto stats = state.lease_stats();
+  out.gauge("duties_held", state.held_lease_count());
   out.counter("duties_claims", stats.claims);
   out.counter("duties_won", stats.won);
   out.counter("duties_lost", stats.lost);
@@ -119,10 +119,10 @@
 }
 
 void write_records(MetricsText& out, const ClusterState& state, Time now) {
-  const auto& stats = state.kept()->figures();
+  const auto& stats = state.store()->figures();
   out.gauge("records_held", stats.records);
   out.gauge("records_bytes", stats.bytes);
-  out.gauge("records_caught_up", state.kept()->caught_up(now) ? 1 : 0);
+  out.gauge("records_caught_up", state.store()->caught_up(now) ? 1 : 0);
   out.counter("records_puts", stats.puts);
   out.counter("records_safe", stats.safe);
   out.counter("records_unsafe", stats.unsafe);
@@ -136,7 +136,7 @@
   const auto& stats = service.stats();
   out.gauge("jobs_here", service.jobs().jobs());
   out.gauge("jobs_answers_bytes", service.jobs().held_bytes());
-  out.counter("jobs_handed_in", stats.handed_in);
+  out.counter("jobs_handed_in", stats.submitted);
   out.family("jobs_lines", "counter");
   out.labelled("jobs_lines", "outcome", "sent", stats.sent);
   out.labelled("jobs_lines", "outcome", "served", stats.served);
@@ -166,39 +166,39 @@
 
 }  // namespace
 
-std::string Metrics::text(const Gauges& now) const {
+std::string Metrics::text(const Gauges& gauges) const {
   MetricsText out;
   out.family("replies", "counter");
   for (const auto& [name, counts] : response_counts_) {
-    const auto label = "type=\"" + escaped(name) + "\",status=\"";
+    const auto label = "type=\"" + escape_label(name) + "\",status=\"";
     out.sample("replies", label + "success\"", counts.success);
     out.sample("replies", label + "overload\"", counts.overload);
     out.sample("replies", label + "error\"", counts.error);
   }
   out.counter("dispatches", forwarded_);
-  out.gauge("concurrent", now.concurrent);
-  out.gauge("targets", now.endpoints);
-  out.gauge("targets_disabled", now.endpoints_avoided);
-  out.gauge("sessions", now.sessions);
-  out.counter("accept_failures", now.accept_failures);
-  write_pool(out, now.pool);
-  out.counter("log_lines", now.log.lines);
-  out.counter("log_dropped", now.log.dropped);
-  if (now.peers != nullptr) write_members(out, *now.peers, now.now);
-  if (now.coordination != nullptr) {
-    const auto& state = now.coordination->cluster_state();
+  out.gauge("concurrent", gauges.concurrent);
+  out.gauge("targets", gauges.endpoints);
+  out.gauge("targets_disabled", gauges.endpoints_avoided);
+  out.gauge("sessions", gauges.sessions);
+  out.counter("accept_failures", gauges.accept_failures);
+  write_pool(out, gauges.pool);
+  out.counter("log_lines", gauges.log.lines);
+  out.counter("log_dropped", gauges.log.dropped);
+  if (gauges.peers != nullptr) write_members(out, *gauges.peers, gauges.now);
+  if (gauges.coordination != nullptr) {
+    const auto& state = gauges.coordination->cluster_state();
     write_leases(out, state);
-    write_records(out, state, now.now);
-    if (const auto* jobs = now.coordination->jobs()) write_jobs(out, *jobs);
+    write_records(out, state, gauges.now);
+    if (const auto* jobs = gauges.coordination->jobs()) write_jobs(out, *jobs);
   }
-  write_discovery(out, now.discovery);
-  write_statuses(out, "client_refusals", now.clients);
-  write_statuses(out, "control_refusals", now.control);
+  write_discovery(out, gauges.discovery);
+  write_statuses(out, "client_refusals", gauges.clients);
+  write_statuses(out, "control_refusals", gauges.control);
   out.counter("retries", retries_);
   out.by_name("rule_breaches", "breach", policy::kInvariantViolationNames, invariant_violations_);
   out.by_name("refusals", "cause", kRejectionReasonNames, rejections_.all());
-  out.by_name("session_ends", "reason", kSessionEndNames, now.session_ends.all());
-  out.by_name("attempt_ends", "reason", kAttemptEndNames, now.attempt_ends.all());
+  out.by_name("session_ends", "reason", kSessionEndNames, gauges.session_ends.all());
+  out.by_name("attempt_ends", "reason", kAttemptEndNames, gauges.attempt_ends.all());
   out.counter("reload_success", reload_success_);
   out.counter("reload_failure", reload_failure_);
   return out.text();
--- a/src/node/metrics.hpp
+++ b/src/node/metrics.hpp
@@ -1,4 +1,5 @@
-// The figures that the operators fetch: counters, raised where the thing happens, and their text.
+// Collects the counters and gauges of the edge node and formats them as the text of /metrics. Owned
+// by Node, on the thread of the io_context.
 #pragma once
 
 #include <array>
@@ -19,36 +20,37 @@
 
 class Metrics {
  public:
-  struct ResponseCounts {  // final answers to the requests of one class
+  struct ResponseCounts {  // final responses to the requests of one class
     std::uint64_t success = 0, overload = 0, error = 0;
   };
-  struct Gauges {  // what is so at the moment of the call
+  struct Gauges {  // values that are not counted here, read when /metrics is requested
     std::size_t concurrent = 0, endpoints = 0, endpoints_avoided = 0, sessions = 0;
     std::uint64_t accept_failures = 0;
     PoolStats pool{};
     log::Stats log{};
     Time now{};
-    const GossipTransport* peers = nullptr;      // none: members are off
-    const Coordination* coordination = nullptr;  // none: off
+    const GossipTransport* peers = nullptr;      // null if members are off
+    const Coordination* coordination = nullptr;  // null if coordination is off
     Discovery::Stats discovery{};
-    StatusCounts clients{}, control{};  // of what came malformed
+    StatusCounts clients{}, control{};  // malformed requests, by the status of the response
     SessionEnds session_ends{};
     AttemptEnds attempt_ends{};
   };
 
-  // Kept for the life of the process, also when the class is dropped.
+  // Creates the counts of a class on first use; they are kept for the life of the process, even if
+  // the class is removed.
   ResponseCounts& response_counts(const std::string& request_class) {
     return response_counts_[request_class];
   }
   void on_forwarded() { ++forwarded_; }
   void on_retried() { ++retries_; }
-  void on_invariant_violation(policy::InvariantViolation breach) {
-    ++invariant_violations_.at(static_cast<std::size_t>(breach));
+  void on_invariant_violation(policy::InvariantViolation violation) {
+    ++invariant_violations_.at(static_cast<std::size_t>(violation));
   }
-  void on_rejected(RejectionReason cause) { rejections_.add(cause); }
-  void on_reload(bool taken) { ++(taken ? reload_success_ : reload_failure_); }
+  void on_rejected(RejectionReason reason) { rejections_.add(reason); }
+  void on_reload(bool succeeded) { ++(succeeded ? reload_success_ : reload_failure_); }
 
-  std::string text(const Gauges& now) const;
+  std::string text(const Gauges& gauges) const;
 
  private:
   std::map<std::string, ResponseCounts> response_counts_;
--- a/src/node/net.hpp
+++ b/src/node/net.hpp
@@ -1,4 +1,5 @@
-// What all sockets of the edge node share: types, the fleet's clock and one queue of timers.
+// Basics of the edge node's sockets: types, the fleet's clock and one timer queue, on the thread of
+// the io_context.
 #pragma once
 
 #include <boost/asio/basic_stream_socket.hpp>
@@ -25,7 +26,7 @@
 using Tcp = asio::ip::tcp;
 using Executor = asio::io_context::executor_type;
 
-// A call that a signal interrupted is made again.
+// Repeats a system call while a signal interrupts it.
 template <class Call>
 auto retry_on_interrupt(Call call) {
   auto result = call();
@@ -33,17 +34,18 @@
   return result;
 }
 
-// A stream whose writes go on after a short one. The library takes a short write for a full buffer
-// and then waits for an edge of the system's readiness, which does not come where the buffer had
-// room. Here only a write that the system turns down waits, and for the state of readiness, not for
-// its edge.
+// A TCP stream socket that continues after a short write. Asio takes a short write for a full send
+// buffer and then waits for an edge-triggered readiness event, which does not come if the buffer
+// had space. Here only a write refused with EWOULDBLOCK waits, and it waits for the state of
+// readiness, not for an edge.
 class Socket : public asio::basic_stream_socket<Tcp, Executor> {
  public:
   using Base = asio::basic_stream_socket<Tcp, Executor>;
   using Base::Base;
-  Socket(Base&& other) : Base(std::move(other)) {}  // implicit: what an acceptor hands over
+  Socket(Base&& other) : Base(std::move(other)) {}  // implicit, for accepted sockets
 
-  // Not moved while it is pending. The handler is never called from within.
+  // The socket must not be moved while a write is pending. The handler is never called from within
+  // this function.
   template <class Buffers, class Handler>
   void async_write_some(const Buffers& buffers, Handler&& handler) {
     error_code failed;
@@ -78,41 +80,41 @@
   }
 };
 
-// Whether opening a connection failed for a reason of this machine's own, which says nothing of the
-// other side.
+// Whether opening a connection failed for a reason of this machine, which says nothing about the
+// peer.
 inline bool is_local_failure(const error_code& failed) {
   return failed == asio::error::no_descriptors || failed == asio::error::no_buffer_space ||
          failed == asio::error::no_memory || failed == asio::error::network_unreachable ||
          failed == asio::error::interrupted || failed.value() == ENFILE ||
          failed.value() == EADDRNOTAVAIL;
 }
-// Whether an accept failed as the client that came has gone again, or for nothing: the next one may
-// be there already.
+// Whether an accept failed because the client disconnected again, or without a lasting cause:
+// another client may be waiting.
 inline bool is_transient_accept_failure(const error_code& failed) {
   return failed == asio::error::connection_aborted || failed == asio::error::interrupted ||
          failed.value() == EPROTO;
 }
-// Whether an accept failed for want of something that the whole machine shares: connections given
-// up here don't help.
+// Whether an accept failed for lack of a resource of the whole machine: closing connections of this
+// process doesn't help.
 inline bool is_system_shortage(const error_code& failed) {
   return failed == asio::error::no_buffer_space || failed == asio::error::no_memory ||
          failed.value() == ENFILE;
 }
 
-// Closes at once; what the peer has not read yet may be lost.
+// Closes at once; data that the peer has not read yet may be lost.
 inline void close_now(Socket& socket) {
   error_code ignored;
   socket.close(ignored);
 }
 
-// Small messages go out at once.
+// Disables Nagle's algorithm, so that small messages are sent at once.
 inline void set_no_delay(Socket& socket) {
   error_code ignored;
   socket.set_option(Tcp::no_delay(true), ignored);
 }
 
-// Unix time, read once and advanced by the steady clock: the nodes agree on it and it never goes
-// backwards.
+// Unix time, read once at the start and advanced by the steady clock: the nodes agree on it, and it
+// never goes backwards.
 class Clock {
  public:
   using Steady = std::chrono::steady_clock;
@@ -124,10 +126,11 @@
   Steady::time_point steady_ = Steady::now();
 };
 
-// All timers of the process on one operating-system timer: a time-out that is set and dropped costs
-// no call. What came malformed, by the status it was answered with; 0: closed without an answer.
+// Counts of malformed messages by the HTTP status of the response; 0: closed without a response.
 using StatusCounts = std::map<unsigned, std::uint64_t>;
 
+// All timers of the process, on one timer of the operating system: setting and cancelling a
+// time-out costs no system call. Times are of Clock; callbacks run on the thread of the io_context.
 class Timers {
  public:
   using Queue = std::multimap<Time, std::function<void()>>;
@@ -137,13 +140,13 @@
 
   Time now() const { return clock_.now(); }
 
-  Handle at(Time when, std::function<void()> what) {
-    const auto it = queue_.emplace(when, std::move(what));
-    if (when < armed_) arm();
+  Handle at(Time deadline, std::function<void()> callback) {
+    const auto it = queue_.emplace(deadline, std::move(callback));
+    if (deadline < armed_time_) arm();
     return it;
   }
-  Handle after(Duration delay, std::function<void()> what) {
-    return at(now() + delay, std::move(what));
+  Handle after(Duration delay, std::function<void()> callback) {
+    return at(now() + delay, std::move(callback));
   }
 
   void cancel(Handle& handle) {
@@ -152,30 +155,30 @@
 
  private:
   void arm() {
-    armed_ = queue_.begin()->first;
-    timer_.expires_at(clock_.steady(armed_));
+    armed_time_ = queue_.begin()->first;
+    timer_.expires_at(clock_.steady(armed_time_));
     timer_.async_wait([this](const error_code& failed) {
       if (!failed) run_due();
     });
   }
   void run_due() {
-    armed_ = Time::max();
+    armed_time_ = Time::max();
     const Time until = now();
     while (!queue_.empty() && queue_.begin()->first <= until) {
       const auto due = queue_.extract(queue_.begin());
       try {
         due.mapped()();
       } catch (const std::exception& x) {
-        log::warning("node", "a timer failed", {{"why", x.what()}});
+        log::warning("node", "a timer callback threw", {{"why", x.what()}});
       }
     }
-    if (!queue_.empty() && queue_.begin()->first < armed_) arm();
+    if (!queue_.empty() && queue_.begin()->first < armed_time_) arm();
   }
 
   const Clock& clock_;
   asio::basic_waitable_timer<Clock::Steady, asio::wait_traits<Clock::Steady>, Executor> timer_;
   Queue queue_;
-  Time armed_ = Time::max();
+  Time armed_time_ = Time::max();
 };
 
 }  // namespace petrelrail
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -105,7 +105,7 @@
   };
   try {
     const auto* member = part("member");
-    gossip_->start(member != nullptr ? std::optional(self_of(*member, gossip_->self()))
+    gossip_->start(member != nullptr ? std::optional(self_from_json(*member, gossip_->self()))
                                      : std::nullopt);
     if (coordination_) coordination_->start(part("together"));
   } catch (const boost::system::system_error& x) {
@@ -370,7 +370,7 @@
   request.arrival.request = id;
   const RequestArrived arrival = request.arrival;
   auto& counts = metrics_.response_counts(request.request_class().name);
-  if (log::follows_requests())
+  if (log::is_request_logging_enabled())
     log::request("node", "taken",
                  {{"request", request.request_id}, {"class", request.request_class().name}});
   const auto& cls = request.request_class();
@@ -465,7 +465,7 @@
   it->second.state.on_responded();
   --concurrent_;
   ++(whole ? it->second.response_counts->success : it->second.response_counts->error);
-  if (log::follows_requests())
+  if (log::is_request_logging_enabled())
     log::request("node", whole ? "answered in pieces" : "answer cut off",
                  {{"request", it->second.request_message->request_id}});
   if (whole)
@@ -518,7 +518,7 @@
 void Node::on_view_changed(const fleet::View& view) {
   // One that was never heard of may be there: it has its part until it is known to have failed or
   // left.
-  if (config_.gossip->paces) handle_event(FleetView{view.living + view.unknown});
+  if (config_.gossip->paces_counter) handle_event(FleetView{view.living + view.unknown});
   if (coordination_) coordination_->on_view_changed(view);
 }
 
@@ -589,7 +589,7 @@
     return handle_event(e);
   }
   if (attempt > 0) metrics_.on_retried();
-  if (log::follows_requests())
+  if (log::is_request_logging_enabled())
     log::request(
         "node", attempt > 0 ? "sent again" : "sent",
         {{"request", o.request_message->request_id}, {"attempt", std::to_string(attempt)}});
@@ -608,7 +608,7 @@
   const auto it = open_requests_.find(s.request);
   if (it == open_requests_.end()) return;
   metrics_.on_rejected(s.reason);
-  if (log::follows_requests())
+  if (log::is_request_logging_enabled())
     log::request("node", "refused",
                  {{"request", it->second.request_message->request_id},
                   {"cause", std::string(name_of(s.reason))}});
@@ -654,7 +654,7 @@
     it->second.state.on_responded();
     --concurrent_;
     ++(it->second.response_counts->*count);
-    if (log::follows_requests())
+    if (log::is_request_logging_enabled())
       log::request("node", "answered",
                    {{"request", it->second.request_message->request_id},
                     {"status", std::to_string(static_cast<unsigned>(answer.status))}});
--- a/src/node/upstream.hpp
+++ b/src/node/upstream.hpp
@@ -1,4 +1,6 @@
-// The price servers' side: a pool of connections for each, attempts and probes on them.
+// Sends attempts and health checks to the price servers over one connection pool per endpoint.
+// Called by Node on the thread of the io_context. It chooses neither endpoints nor retries: Gateway
+// does.
 #pragma once
 
 #include <memory>
@@ -15,17 +17,24 @@
 class Upstream : public ConnectionView {
  public:
   struct Callbacks {
-    virtual bool is_still_wanted(RequestId request) = 0;  // its client still waits
+    // Whether the client of this request is still connected and without a final answer.
+    virtual bool is_still_wanted(RequestId request) = 0;
+    // Called exactly once for each attempt.
     virtual void on_attempt_ended(const UpstreamExchange& exchange, AttemptOutcome outcome,
                                   Response answer) = 0;
-    // A long answer, of which nothing is tried elsewhere any more. False: nobody waits for it.
+    // Called when a response starts to be streamed; the request is not retried after that. Returns
+    // false if no client waits for the response.
     virtual bool on_stream_started(const UpstreamExchange& exchange, const ResponseHead& head) = 0;
-    virtual void on_stream_chunk(const UpstreamExchange& exchange, std::string_view piece,
-                                 std::function<void()> taken) = 0;
-    virtual void on_attempt_written(const UpstreamExchange& exchange) = 0;  // its last byte
+    // Called with each part of a streamed body. `on_written` resumes reading from the price server;
+    // it is empty for the last part.
+    virtual void on_stream_chunk(const UpstreamExchange& exchange, std::string_view chunk,
+                                 std::function<void()> on_written) = 0;
+    // Called when the last byte of the request has been written.
+    virtual void on_attempt_written(const UpstreamExchange& exchange) = 0;
     virtual void on_health_check_ended(const UpstreamExchange& exchange,
                                        AttemptOutcome outcome) = 0;
-    // Descriptors are shared with the clients: whether one is free, or can be had back from them.
+    // File descriptors are shared with client connections: whether one is free, and whether a
+    // client connection was closed to free one.
     virtual bool has_free_descriptor() const { return true; }
     virtual bool reclaim_descriptor() { return false; }
 
@@ -34,54 +43,59 @@
   };
 
   Upstream(asio::io_context& io, Timers& timers, Duration connect_timeout, Duration keep_alive,
-           std::size_t max_connections, Callbacks& owner);
-  ~Upstream();  // whatever is open ends, and nobody is told
+           std::size_t max_connections, Callbacks& callbacks);
+  // Closes every connection without calling back.
+  ~Upstream();
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
 
   void set_timeouts(Duration connect_timeout, Duration keep_alive);
-  // What discovery says of a server. One that takes nothing new loses its idle connections.
-  void update_endpoint(EndpointId server, const Tcp::endpoint& address, bool takes_work,
-                       std::optional<Time> started = std::nullopt);
-  // A whole list: a server that it does not hold is gone.
+  // Applies discovery's entry for an endpoint. An endpoint that accepts no new requests loses its
+  // idle connections.
+  void update_endpoint(EndpointId server, const Tcp::endpoint& address, bool accepts_requests,
+                       std::optional<Time> start_time = std::nullopt);
+  // Applies a complete list: endpoints that are not in it accept no new requests.
   void retain_endpoints(const std::vector<EndpointInfo>& listed);
 
-  // Out by hand, kept by id whatever discovery says: nothing new is written there.
-  void set_ejected(EndpointId server, bool out);
+  // Ejects an endpoint on an operator's command, or readmits it. The ejection is kept by id,
+  // whatever discovery reports, and no new attempt is written while it lasts.
+  void set_ejected(EndpointId server, bool ejected);
 
   void send(UpstreamExchange exchange);
   void check_health(EndpointId server);
   void cancel(RequestId request, std::uint32_t attempt);
+  // Open connections, including those being established.
   std::size_t size() const { return stats_.open; }
   std::size_t max_connections() const { return max_connections_; }
   const PoolStats& stats() const { return stats_; }
   const AttemptEnds& attempt_ends() const { return attempt_ends_; }
   ConnectionCounts connections(EndpointId server) const override;
   void set_max_connections(std::size_t max_connections) { max_connections_ = max_connections; }
-  // Whether connections are kept for further attempts.
-  void set_keep_idle(bool kept);
-  // Idle connections to a server beyond so many go.
+  // Whether connections are kept for further attempts after an exchange.
+  void set_keep_idle(bool keep_idle);
+  // Closes idle connections to an endpoint until at most `keep` are left.
   void release_idle(EndpointId server, std::size_t keep);
-  // Gives up the connection that has idled longest, at whatever server.
+  // Closes the connection that has been idle longest over all endpoints. Returns false if none is
+  // idle.
   bool evict_idle();
 
  private:
   friend class UpstreamConnection;
-  struct Target {
-    Target(EndpointId server, PoolStats& figures) : pool(server, figures) {}
+  struct EndpointState {
+    EndpointState(EndpointId server, PoolStats& stats) : pool(server, stats) {}
     ConnectionPool pool;
     bool accepts_requests = false;
   };
 
   void start_exchange(UpstreamExchange exchange);
-  void report_end(const UpstreamExchange& exchange, AttemptOutcome outcome, AttemptEndReason why,
+  void report_end(const UpstreamExchange& exchange, AttemptOutcome outcome, AttemptEndReason reason,
                   Response answer);
   static void log_end(const UpstreamExchange& exchange, AttemptOutcome outcome,
-                      AttemptEndReason why, bool broke);
-  bool accepts_requests(const Target& target) const;
-  bool may_start(const UpstreamExchange& exchange);
-  void return_idle(const ConnectionPool::Connection& c,
-                   ConnectionPool& pool);  // it has become idle
+                      AttemptEndReason reason, bool broken);
+  bool accepts_requests(const EndpointState& endpoint) const;
+  bool can_start(const UpstreamExchange& exchange);
+  // Puts a connection whose exchange has ended back into its pool.
+  void return_idle(const ConnectionPool::Connection& c, ConnectionPool& pool);
   bool reserve_connection();
   Duration idle_limit() const;
   void sweep();
@@ -94,7 +108,7 @@
   Callbacks& callbacks_;
   PoolStats stats_;
   AttemptEnds attempt_ends_;
-  std::unordered_map<EndpointId, Target> targets_;
+  std::unordered_map<EndpointId, EndpointState> endpoints_;
   std::unordered_set<EndpointId> ejected_;
   Timers::Handle sweep_timer_;
 };
