--- a/src/node/upstream_connection.cpp
+++ b/src/node/upstream_connection.cpp
@@ -17,13 +17,13 @@
 
 AttemptOutcome outcome_of(const http::response<ChunkBody>& r) {
   if (r.result() == http::status::ok) return AttemptOutcome::ok;
-  const bool turned_away = r.result() == http::status::service_unavailable ||
-                           r.result() == http::status::gateway_timeout;
-  if (turned_away && r["X-Not-Processed"] == "1") return AttemptOutcome::overloaded;
+  const bool rejected = r.result() == http::status::service_unavailable ||
+                        r.result() == http::status::gateway_timeout;
+  if (rejected && r["X-Not-Processed"] == "1") return AttemptOutcome::overloaded;
   return AttemptOutcome::error;
 }
 
-constexpr char kNothing = {};  // no answer begins with it
+constexpr char kUnwrittenMarker = {};  // no HTTP response begins with this byte
 
 }  // namespace
 
@@ -36,17 +36,18 @@
 
 void UpstreamConnection::open(const Tcp::endpoint& to, UpstreamExchange exchange) {
   exchange_ = std::move(exchange);
-  // Until the connection is up the errand may take no longer than a connect may; then it has its
-  // own time.
-  const auto until = exchange_->started + upstream_.connect_timeout_;
+  // Establishing the connection is bounded by the connect timeout; the exchange's deadline applies
+  // afterwards.
+  const auto connect_deadline = exchange_->started + upstream_.connect_timeout_;
   deadline_timer_ = upstream_.timers_.at(
-      std::min(until, exchange_->deadline),
-      [self = shared_from_this(), late = exchange_->deadline < until] {
+      std::min(connect_deadline, exchange_->deadline),
+      [self = shared_from_this(), deadline_first = exchange_->deadline < connect_deadline] {
         self->deadline_timer_.reset();
-        // Its own time ran out first: that says nothing of the server.
-        if (late)
+        // The deadline of the request came before the connect timeout, which is no sign of a faulty
+        // server.
+        if (deadline_first)
           return self->close(AttemptOutcome::never_sent, AttemptEndReason::deadline_before_connect);
-        // Nothing comes up there: the connections that idle are dead as well.
+        // The server accepts no connection, so its idle connections are dead as well.
         self->pool_.close_all_idle();
         self->close(AttemptOutcome::connect_failed, AttemptEndReason::connect_timeout);
       });
@@ -54,7 +55,7 @@
     if (self->state_ == State::closed) return;
     if (is_local_failure(failed))
       return self->close(AttemptOutcome::never_sent,
-                         AttemptEndReason::local_failure);  // not the server's fault
+                         AttemptEndReason::local_failure);  // not a failure of the server
     if (failed)
       return self->close(AttemptOutcome::connect_failed, AttemptEndReason::connect_failed);
     set_no_delay(self->socket_);
@@ -73,31 +74,32 @@
   start();
 }
 
-// The loop tells of an end or of bytes some time after they came: the system is asked. What was
-// there when the read began is not in the socket any more, and the loop has not told of it either:
-// it lies where the read puts it.
+// The event loop reports a close or received bytes with a delay, so this asks the system directly.
+// Data that had arrived when the pending read began is no longer in the socket and not yet
+// reported; it shows in the buffer of that read.
 bool UpstreamConnection::is_usable() {
-  const bool ahead = read_pending_ && *pending_read_buffer_ != kNothing;
+  const bool already_read = read_pending_ && *pending_read_buffer_ != kUnwrittenMarker;
   char byte = 0;
   const auto peek = [&] {
     return ::recv(socket_.native_handle(), &byte, sizeof byte, MSG_PEEK | MSG_DONTWAIT);
   };
-  const auto n = ahead ? 1 : retry_on_interrupt(peek);
+  const auto n = already_read ? 1 : retry_on_interrupt(peek);
   if (n > 0) pool_.on_unsolicited_data(upstream_.timers_.now(), idle_since_);
   return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-// The moment of the first byte. While the connection came up the client may have gone, the time run
-// out or the server been told to drain: then nothing is written, and the connection is kept for
-// others. One that leads to a former life of the server is not.
+// Called right before the first byte is written. While the connection was being established the
+// client may have disconnected, the deadline passed or the server begun to drain: then nothing is
+// written and the connection is kept for other requests, unless it leads to a former incarnation of
+// the server.
 void UpstreamConnection::start() {
-  if (incarnation_ != pool_.incarnation() || !upstream_.may_start(*exchange_))
+  if (incarnation_ != pool_.incarnation() || !upstream_.can_start(*exchange_))
     return complete_exchange(AttemptOutcome::never_sent, AttemptEndReason::not_started, {});
   const Time now = upstream_.timers_.now();
   arm_deadline_timer();
   write_head(now);
   reset_parser();
-  messages_received_before_ = pool_.receive_count();
+  receive_count_at_start_ = pool_.receive_count();
   state_ = State::writing;
   unsolicited_input_ = streaming_ = paused_ = write_pending_ = false;
   deferred_end_reason_.reset();
@@ -106,16 +108,16 @@
     return start_body_stream();
   const auto body = exchange_->request_message ? asio::buffer(exchange_->request_message->body)
                                                : asio::const_buffer();
-  const std::array<asio::const_buffer, 2> parts{asio::buffer(request_head_), body};
-  asio::async_write(
-      socket_, parts, [self = shared_from_this()](const error_code& failed, std::size_t) {
-        if (self->state_ != State::writing) return;
-        if (failed) return self->on_write_failed();  // it broke before the last byte was written
-        self->on_request_written();
-      });
+  const std::array<asio::const_buffer, 2> buffers{asio::buffer(request_head_), body};
+  asio::async_write(socket_, buffers,
+                    [self = shared_from_this()](const error_code& failed, std::size_t) {
+                      if (self->state_ != State::writing) return;
+                      if (failed) return self->on_write_failed();
+                      self->on_request_written();
+                    });
 }
 
-// The head of the request, as text: what of it comes from the client has gone through a parser.
+// Formats the request's head. The parts that come from the client have passed a parser before.
 void UpstreamConnection::write_head(Time now) {
   request_head_.clear();
   const auto line = [this](std::string_view name, std::string_view value) {
@@ -145,10 +147,9 @@
   upstream_.timers_.cancel(deadline_timer_);
   deadline_timer_ = upstream_.timers_.at(exchange_->deadline, [self = shared_from_this()] {
     self->deadline_timer_.reset();
-    // For longer than a connection may take to come up nothing has come from there, on whatever
-    // connection: it may be cut off without a reset, and those that idle would swallow what is
-    // written to them.
-    const bool silent = self->messages_received_before_ == self->pool_.receive_count() &&
+    // If the server has sent nothing on any connection for longer than the connect timeout, it may
+    // be cut off without a reset, and idle connections would swallow what is written to them.
+    const bool silent = self->receive_count_at_start_ == self->pool_.receive_count() &&
                         self->exchange_->deadline - self->exchange_->started >=
                             self->upstream_.connect_timeout_;
     if (silent) self->pool_.close_all_idle();
@@ -163,13 +164,13 @@
   if (!read_pending_) process_input();
 }
 
-// Before the last byte: the request has surely not run.
+// The write failed before the last byte, so the server has not processed the request.
 void UpstreamConnection::on_write_failed() {
   close(outcome_before_written(), deferred_end_reason_.value_or(AttemptEndReason::write_failed));
 }
 
-// A long body passes on as it comes from the client. The time of the attempt counts from its last
-// byte.
+// Streams a long request body as it arrives from the client. The deadline of the attempt is counted
+// from its last byte.
 void UpstreamConnection::start_body_stream() {
   auto& upload = *exchange_->request_message->body_stream;
   arm_stall_timer(AttemptOutcome::timeout, AttemptEndReason::timed_out);
@@ -199,7 +200,7 @@
     append_chunk(body_chunk_, data);
   }
   if (!upload.length() && last) body_chunk_.append(kLastChunk);
-  if (body_chunk_.empty() && !last) return;  // told when there is more
+  if (body_chunk_.empty() && !last) return;  // the data callback resumes
   write_pending_ = true;
   asio::async_write(socket_, asio::buffer(body_chunk_),
                     [self = shared_from_this(), last](const error_code& failed, std::size_t) {
@@ -222,7 +223,7 @@
 void UpstreamConnection::read() {
   if (state_ == State::closed || std::exchange(read_pending_, true)) return;
   const auto space = buffer_.prepare(streaming_ ? facts::kPiece : facts::kReadSize);
-  *static_cast<char*>(space.data()) = kNothing;
+  *static_cast<char*>(space.data()) = kUnwrittenMarker;
   pending_read_buffer_ = static_cast<const char*>(space.data());
   socket_.async_read_some(space,
                           [self = shared_from_this()](const error_code& failed, std::size_t bytes) {
@@ -233,14 +234,14 @@
 void UpstreamConnection::on_read(const error_code& failed, std::size_t bytes) {
   read_pending_ = false;
   if (state_ == State::closed) return;
-  // On a connection that idles there is nothing to read but its end.
+  // An idle connection can only receive its close; anything else is unsolicited data.
   if (state_ == State::idle) {
     if (!failed) pool_.on_unsolicited_data(upstream_.timers_.now(), idle_since_);
     return pool_.close_idle(shared_from_this());
   }
   if (failed) {
-    // Only an orderly end closes an answer without a length. After a reset nobody knows how much of
-    // it is missing.
+    // Only an orderly close ends a response without a length. After a reset it is unknown how much
+    // of it is missing.
     error_code ended;
     const bool orderly = failed == asio::error::eof && state_ == State::waiting;
     if (orderly && parser_->got_some() && !parser_->is_done()) parser_->put_eof(ended);
@@ -250,9 +251,9 @@
   }
   buffer_.commit(bytes);
   pool_.on_data_received();
-  // A server starts on a request once its last byte has arrived. Where another was answered before,
-  // this is no answer to the one that is being written, which never runs if its last byte is kept
-  // back.
+  // A server processes a request only after its last byte has arrived. On a reused connection,
+  // input received before that is not the response to the request being written, and that request
+  // never runs if its last byte is withheld.
   unsolicited_input_ = state_ == State::writing && exchange_->connect_duration == Duration{};
   if (unsolicited_input_)
     return pool_.on_unsolicited_data(upstream_.timers_.now(), idle_since_),
@@ -269,7 +270,7 @@
   if (should_stream()) start_streaming();
   if (state_ == State::closed) return;
   if (streaming_) return forward_chunk();
-  // An answer that comes before its request is written whole is not read on for long.
+  // A response that arrives before its request is fully written is buffered up to this limit only.
   if (state_ == State::writing && parser_->get().body().size() >= facts::kHeldBytes) return;
   read();
 }
@@ -281,15 +282,15 @@
   parser_->eager(true);
 }
 
-// False if what comes is no answer.
+// Returns false if the input is not a valid HTTP response.
 bool UpstreamConnection::feed_parser() {
   error_code wrong;
   while (!parser_->is_done() && buffer_.size() > 0) {
     buffer_.consume(parser_->put(buffer_.data(), wrong));
-    // The parser leaves a line of chunks and a trailer where they are until they are whole.
+    // The parser does not consume a chunk header or a trailer until it is complete.
     if (wrong == http::error::need_more) return buffer_.size() < facts::kMaxHeader;
     if (wrong) return false;
-    // An interim answer (1xx) is followed by the final one.
+    // An interim response (1xx) is followed by the final one.
     if (parser_->is_done() &&
         http::to_status_class(parser_->get().result()) == http::status_class::informational)
       reset_parser();
@@ -307,9 +308,9 @@
   });
 }
 
-// Whether the part that has come should pass on now. What is held until then may be tried elsewhere
-// if the connection breaks, and so may a head alone. The body of an answer that is not passed on is
-// of no use.
+// Whether the received part should be passed on now. A response that is still held back, or of
+// which only the head has arrived, may be retried elsewhere if the connection breaks. The body of a
+// response that is not passed on is of no use.
 bool UpstreamConnection::should_stream() const {
   if (streaming_ || !parser_->is_header_done() || !exchange_->request_message) return false;
   const auto& answer = parser_->get();
@@ -335,7 +336,7 @@
     close(AttemptOutcome::cancelled, AttemptEndReason::client_disconnected);
 }
 
-// One piece at a time: the next is read when the client has taken this one.
+// Forwards one chunk at a time: the next one is read after the client has taken this one.
 void UpstreamConnection::forward_chunk() {
   auto& body = parser_->get().body();
   upstream_.timers_.cancel(deadline_timer_);
@@ -349,7 +350,8 @@
   body.clear();
 }
 
-// What has come of an answer that breaks is its client's: it ends where the server's answer ended.
+// Passes on the rest that was received of a broken response, so that the client's response ends
+// where the server's ended.
 void UpstreamConnection::forward_remaining() {
   auto& body = parser_->get().body();
   if (!body.empty()) upstream_.callbacks_.on_stream_chunk(*exchange_, body, nullptr);
@@ -362,9 +364,10 @@
   read();
 }
 
-// A long answer may go on for as long as something of it comes. One of the usual size has the
-// request's time: if it is not whole soon after that, its client is told so.
-void UpstreamConnection::arm_stall_timer(AttemptOutcome otherwise, AttemptEndReason why) {
+// A long response may take any time as long as parts of it keep arriving. One within the usual size
+// limit is bound by the request's deadline: if it is not complete soon after that, it is ended and
+// its client sees it cut off.
+void UpstreamConnection::arm_stall_timer(AttemptOutcome outcome, AttemptEndReason reason) {
   const Time now = upstream_.timers_.now();
   Time until = now + facts::kStalled;
   const auto length = streaming_ ? parser_->content_length() : boost::none;
@@ -372,41 +375,41 @@
     until = std::min(until,
                      std::max(now, exchange_->request_message->deadline + facts::kFinalLate));
   upstream_.timers_.cancel(deadline_timer_);
-  deadline_timer_ = upstream_.timers_.at(until, [self = shared_from_this(), otherwise, why] {
+  deadline_timer_ = upstream_.timers_.at(until, [self = shared_from_this(), outcome, reason] {
     self->deadline_timer_.reset();
-    self->close(otherwise, why);
+    self->close(outcome, reason);
   });
 }
 
-// The connection is of no more use while a request is out on it. If its last byte was written it
-// may have run.
-void UpstreamConnection::on_connection_broken(AttemptEndReason why) {
+// A broken connection can't be used for the request in flight on it. If the last byte of the
+// request was written, the request may have run.
+void UpstreamConnection::on_connection_broken(AttemptEndReason reason) {
   if (state_ == State::writing) {
-    // How much was written shows when the write ends.
+    // How much was written is known when the pending write ends.
     if (exchange_->request_message && exchange_->request_message->body_stream && !write_pending_)
-      return close(outcome_before_written(), why);
-    deferred_end_reason_ = why;
+      return close(outcome_before_written(), reason);
+    deferred_end_reason_ = reason;
     error_code ignored;
     socket_.cancel(ignored);
     return;
   }
-  close(AttemptOutcome::reset, why);
+  close(AttemptOutcome::reset, reason);
 }
 
-// Bytes behind a whole answer belong to no request of this connection, and the connection is of no
-// more use.
+// Bytes after a complete response belong to no request of this connection, so the connection is
+// closed.
 void UpstreamConnection::on_response_complete() {
-  const bool bytes_behind = buffer_.size() > 0;
-  if (bytes_behind && exchange_->request_message) {
+  const bool has_trailing_bytes = buffer_.size() > 0;
+  if (has_trailing_bytes && exchange_->request_message) {
     const Time now = upstream_.timers_.now();
     pool_.on_unsolicited_data(now, now);
-    if (policy::response_disposition(true, bytes_behind, streaming_) ==
+    if (policy::response_disposition(true, has_trailing_bytes, streaming_) ==
         policy::ResponseDisposition::fail)
       return on_connection_broken(AttemptEndReason::trailing_bytes);
   }
-  const bool lasts = parser_->keep_alive();  // not where the answer ends with the connection
+  const bool can_reuse = parser_->keep_alive();  // false if the response ends with the connection
   auto response = parser_->release();
-  const bool keep = lasts && state_ == State::waiting && !bytes_behind;
+  const bool keep = can_reuse && state_ == State::waiting && !has_trailing_bytes;
   const auto outcome = outcome_of(response);
   Response answer{response.result(), {}, std::string(response[http::field::content_type]), {}};
   if (!streaming_) {
@@ -421,19 +424,20 @@
   }
   complete_exchange(
       outcome,
-      bytes_behind ? AttemptEndReason::trailing_bytes : AttemptEndReason::response_complete,
+      has_trailing_bytes ? AttemptEndReason::trailing_bytes : AttemptEndReason::response_complete,
       std::move(answer));
   read();
 }
 
-// The connection goes first and the outcome after it, so that two attempts are never out at once.
-void UpstreamConnection::close(AttemptOutcome outcome, AttemptEndReason why) {
+// Closes the connection before it reports the outcome, so that two attempts of a request are never
+// in flight at once.
+void UpstreamConnection::close(AttemptOutcome outcome, AttemptEndReason reason) {
   if (state_ == State::closed) return;
   pool_.remove(shared_from_this(), state_ == State::connecting);
   if (outcome == AttemptOutcome::connect_failed) pool_.on_connect_failed();
   state_ = State::closed;
   close_now(socket_);
-  complete_exchange(outcome, why, {});
+  complete_exchange(outcome, reason, {});
 }
 
 void UpstreamConnection::abandon() {
@@ -445,7 +449,7 @@
   exchange_.reset();
 }
 
-void UpstreamConnection::complete_exchange(AttemptOutcome outcome, AttemptEndReason why,
+void UpstreamConnection::complete_exchange(AttemptOutcome outcome, AttemptEndReason reason,
                                            Response answer) {
   const auto self = shared_from_this();
   upstream_.timers_.cancel(deadline_timer_);
@@ -456,11 +460,12 @@
                                    (streaming_ && parser_->is_done());
   const auto exchange = std::exchange(exchange_, std::nullopt);
   if (state_ != State::closed) {
-    // One that was taken and not written to idles on, as its server sees it.
+    // A connection that was acquired but not written to has been idle throughout, as its server
+    // sees it.
     if (std::exchange(state_, State::idle) != State::idle) idle_since_ = upstream_.timers_.now();
     upstream_.return_idle(self, pool_);
   }
-  if (exchange) upstream_.report_end(*exchange, outcome, why, std::move(answer));
+  if (exchange) upstream_.report_end(*exchange, outcome, reason, std::move(answer));
 }
 
 }  // namespace petrelrail
--- a/src/node/upstream_connection.hpp
+++ b/src/node/upstream_connection.hpp
@@ -1,5 +1,6 @@
-// One connection to a price server and what is done on it: an attempt or a probe at a time. Every
-// attempt ends in exactly one outcome, and no request is ever written twice by itself.
+// One connection to a price server. Runs one exchange at a time, an attempt of a request or a
+// health check, and reports exactly one outcome for each attempt. Driven by Upstream on the thread
+// of the io_context; never writes a request a second time on its own.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -15,17 +16,17 @@
 
 namespace petrelrail {
 
-// What is to be done on one connection: an attempt of a request, or a probe if there is no message.
+// One use of a connection: an attempt of a request, or a health check if there is no message.
 struct UpstreamExchange {
   RequestId request{};
   std::uint32_t attempt = 0;
   EndpointId endpoint{};
   Time started{}, deadline{};
   std::shared_ptr<const ClientRequest> request_message;
-  Time response_started{};            // when a long answer began to pass on
-  Duration connect_duration{};        // what its connection took to come up; 0: it idled
-  Time start_deadline = Time::max();  // of the module's Send
-  bool response_complete = false;     // its answer has come whole
+  Time response_started{};            // when streaming of the response to the client began
+  Duration connect_duration{};        // time to establish the connection; 0: an idle one was reused
+  Time start_deadline = Time::max();  // from the Send action: the first byte is written before this
+  bool response_complete = false;     // the whole response was received
 };
 
 class Upstream;
@@ -34,14 +35,20 @@
  public:
   UpstreamConnection(Upstream& upstream, ConnectionPool& pool, asio::io_context& io);
 
+  // Connects, then starts the exchange.
   void open(const Tcp::endpoint& to, UpstreamExchange exchange);
-  void start_exchange(UpstreamExchange exchange);            // on a connection that idles
-  void close(AttemptOutcome outcome, AttemptEndReason why);  // ends what it is busy with
-  void abandon();           // the same, and nobody is told: its pool ends
-  void on_chunk_written();  // the last piece has been taken
-  // While it idles: the other end holds it open and has sent nothing that nobody asked for.
+  // Starts an exchange on an idle connection.
+  void start_exchange(UpstreamExchange exchange);
+  // Closes the connection and ends its exchange, if any, with this outcome.
+  void close(AttemptOutcome outcome, AttemptEndReason reason);
+  // Closes the connection without reporting an outcome, as its pool is being destroyed.
+  void abandon();
+  // Called when the client has taken the last chunk: reading resumes.
+  void on_chunk_written();
+  // For an idle connection: whether the server still holds it open and has sent no unsolicited
+  // data.
   bool is_usable();
-  Time idle_since() const { return idle_since_; }  // when it began to idle
+  Time idle_since() const { return idle_since_; }
   ConnectionPool::ServerIncarnation incarnation() const { return incarnation_; }
   const std::optional<UpstreamExchange>& exchange() const { return exchange_; }
 
@@ -51,7 +58,7 @@
   void start();
   void read();
   void on_read(const error_code& failed, std::size_t bytes);
-  void on_connection_broken(AttemptEndReason why);
+  void on_connection_broken(AttemptEndReason reason);
   AttemptOutcome outcome_before_written() const {
     return unsolicited_input_ ? AttemptOutcome::never_sent : AttemptOutcome::connect_failed;
   }
@@ -65,38 +72,38 @@
   bool should_stream() const;
   void start_hold_timer();
   void start_streaming();
-  void arm_stall_timer(AttemptOutcome otherwise, AttemptEndReason why);
+  void arm_stall_timer(AttemptOutcome outcome, AttemptEndReason reason);
   void arm_deadline_timer();
   void write_head(Time now);
   void start_body_stream();
   void forward_chunk();
   void forward_remaining();
-  void complete_exchange(AttemptOutcome outcome, AttemptEndReason why, Response answer);
+  void complete_exchange(AttemptOutcome outcome, AttemptEndReason reason, Response answer);
 
   Upstream& upstream_;
-  ConnectionPool& pool_;  // it outlives what it holds
+  ConnectionPool& pool_;  // outlives its connections
   ConnectionPool::ServerIncarnation incarnation_;
   Socket socket_;
   boost::beast::flat_buffer buffer_;
   std::optional<http::response_parser<ChunkBody>> parser_;
-  std::string request_head_;  // of the request that is written
+  std::string request_head_;
   std::string body_chunk_;
-  bool write_pending_ = false;  // a piece of it is being written
+  bool write_pending_ = false;  // of the head or a chunk of a streamed request body
   std::optional<UpstreamExchange> exchange_;
   Timers::Handle deadline_timer_, hold_timer_;
   State state_ = State::connecting;
-  bool streaming_ = false;                     // the answer passes on in pieces
-  bool read_pending_ = false;                  // a read is pending
-  const char* pending_read_buffer_ = nullptr;  // where that puts its first byte
-  std::size_t forwarded_bytes_ = 0;            // bytes of it
-  bool paused_ = false;                        // until the client has taken the last one
-  Time response_started_{};                    // when the answer began to come
-  std::optional<AttemptEndReason>
-      deferred_end_reason_;         // what ended it while a request was being written
-  bool unsolicited_input_ = false;  // or what came was the answer to another
+  bool streaming_ = false;  // the response is passed on in chunks
+  bool read_pending_ = false;
+  const char* pending_read_buffer_ = nullptr;  // where the pending read puts its first byte
+  std::size_t forwarded_bytes_ = 0;            // of the streamed response
+  bool paused_ = false;                        // until the client has taken the last chunk
+  Time response_started_{};                    // when the response's head was complete
+  // Why the connection broke while the request was being written; reported when the write ends.
+  std::optional<AttemptEndReason> deferred_end_reason_;
+  bool unsolicited_input_ = false;  // the server answered a request that is still being written
   Time idle_since_{};
-  std::uint64_t messages_received_before_ = 0;  // how often the server had been heard of when the
-                                                // request began
+  // The pool's receive count when the request began, to detect a server that sends nothing at all.
+  std::uint64_t receive_count_at_start_ = 0;
 };
 
 }  // namespace petrelrail
--- a/tests/gossip_transport_test.cpp
+++ b/tests/gossip_transport_test.cpp
@@ -93,11 +93,11 @@
   const auto incarnation = links[0]->peers.to_json()["members"][1]["incarnation"];
   links[1]->peers.stop();
   Link next(loop, timers, config(1));
-  next.peers.start(self_of(left, next.peers.self()));
+  next.peers.start(self_from_json(left, next.peers.self()));
   ASSERT_TRUE(loop.until([&] { return next.living == kNodes; }));
   EXPECT_EQ(links[0]->peers.to_json()["members"][1]["incarnation"], incarnation);
   EXPECT_EQ(links[0]->peers.stats().failures, 0U);
-  EXPECT_THROW(self_of({{"life", 1}, {"incarnation", 0}}, {}), std::exception);
+  EXPECT_THROW(self_from_json({{"life", 1}, {"incarnation", 0}}, {}), std::exception);
 }
 TEST_F(MembersLink, WhatStrangersSendIsCountedAndDropped) {
   start();
