--- a/bench/cost.cpp
+++ b/bench/cost.cpp
@@ -176,7 +176,7 @@
     c.known_endpoints = {{"revision", 1}, {"complete", true}, {"members", members}};
     node.emplace(node_io, std::move(c));
     node->start();
-    const auto probe = loop.connect(node->listens_at());
+    const auto probe = loop.connect(node->listen_address());
     std::string got;
     probe->send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     until([&] { return !(got = probe->message()).empty(); });
@@ -207,7 +207,7 @@
 
 int run(std::uint64_t requests) {
   Bench b;
-  const auto w = b.loop.connect(b.node->listens_at());
+  const auto w = b.loop.connect(b.node->listen_address());
   std::uint64_t n = 0;
   for (int i = 0; i < 200; ++i) b.ask(*w, ++n, 1 + n % 20);  // connections and leases are there
   counted = {.live = counted.live}, b.micros = 0;
@@ -230,7 +230,7 @@
   auto open = descriptors();
   std::vector<std::shared_ptr<Wire>> sessions;
   for (std::size_t i = 0; i < kSessions; ++i)
-    sessions.push_back(b.loop.connect(b.node->listens_at()));
+    sessions.push_back(b.loop.connect(b.node->listen_address()));
   const auto wires = counted.live - live;  // the stand-ins' own ends
   live = counted.live;
   const auto far_ends = descriptors() - open;
--- a/src/node/admin_server.hpp
+++ b/src/node/admin_server.hpp
@@ -53,7 +53,7 @@
   AdminServer& operator=(const AdminServer&) = delete;
 
   void listen(const Tcp::endpoint& at);
-  Tcp::endpoint listens_at() const { return acceptor_.local_endpoint(); }
+  Tcp::endpoint listen_address() const { return acceptor_.local_endpoint(); }
   // Calls that were answered 4xx.
   const StatusCounts& rejected_requests() const { return rejected_requests_; }
 
--- a/src/node/chunk_body.hpp
+++ b/src/node/chunk_body.hpp
@@ -1,4 +1,5 @@
-// A message body that is taken out as it comes.
+// Body type for Boost.Beast parsers whose content the owner moves out while it is still arriving.
+// Used for client requests and price servers' responses.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -11,7 +12,7 @@
 
 namespace petrelrail {
 
-// Nothing is set aside for what is still to come.
+// Reserves no memory for the announced length.
 struct ChunkBody {
   using value_type = std::string;
   static std::uint64_t size(const value_type& body) { return body.size(); }
--- a/src/node/client_request.hpp
+++ b/src/node/client_request.hpp
@@ -1,5 +1,5 @@
-// A client's request as it was read: what the decision module is told of it and what goes on to a
-// server.
+// A client's request as it was read: what the decision module receives of it and what is forwarded
+// to a price server.
 #pragma once
 
 #include <boost/beast/http/verb.hpp>
@@ -15,20 +15,19 @@
 
 namespace http = boost::beast::http;
 
-// A request as it came: what the module is told of it and what goes on to a server.
 struct ClientRequest {
-  RequestArrived arrival;  // its number is the node's to give
+  RequestArrived arrival;  // Node sets its number
   Time deadline{};
   http::verb method{};
   std::string target, request_id, idempotency_key, content_type, body;
-  std::shared_ptr<RequestBodyStream> body_stream;  // of a long body, which comes in pieces
-  std::shared_ptr<const Settings> settings;        // that it was read under
+  std::shared_ptr<RequestBodyStream> body_stream;  // the rest of a long body
+  std::shared_ptr<const Settings> settings;        // in force when it was read
 
   std::string_view method_name() const {
     const auto name = http::to_string(method);
     return {name.data(), name.size()};
   }
-  // Where a body is usual its length is told even if it is 0.
+  // Methods whose Content-Length is sent even if it is 0.
   bool has_body() const {
     return method == http::verb::post || method == http::verb::put || method == http::verb::options;
   }
--- a/src/node/end_reason.hpp
+++ b/src/node/end_reason.hpp
@@ -1,5 +1,5 @@
-// Why clients' connections, attempts and requests came to their end: one value for each cause,
-// counted in /metrics and named in the log.
+// Why client connections, attempts and requests ended: one value for each cause, counted in
+// /metrics and named in the log.
 #pragma once
 
 #include <array>
@@ -11,20 +11,20 @@
 
 namespace petrelrail {
 
-// The end of a client's connection, by what decided it.
+// Of a client connection.
 enum class SessionEndReason {
-  client_closed,      // the client ended its side
-  read_failed,        // a read failed, for another reason than the client's end
+  client_closed,      // the client closed its side
+  read_failed,        // a read failed, other than by the client's close
   write_failed,       // a write failed
-  response_complete,  // its answer was the last one on this connection
-  response_broken,    // the answer that was being passed on broke at the price server
-  malformed,          // the rest of a request that is out can't be parsed
+  response_complete,  // the last response on this connection was written
+  response_broken,    // the streamed response was truncated by the price server
+  malformed,          // the rest of a forwarded request can't be parsed
   request_too_long,   // more bytes than any request may have
-  request_too_slow,   // no request, or not the rest of one, came in time
-  reader_too_slow,    // the client took nothing of its answer for too long
-  idle,               // it has rested for too long
-  descriptor_needed,  // its descriptor was needed
-  process_ends,       // this process was told to end, or a successor serves
+  request_too_slow,   // a request did not begin, or was not complete, in time
+  reader_too_slow,    // the client read nothing of its response for too long
+  idle,               // no request for too long
+  descriptor_needed,  // evicted to free its descriptor
+  process_ends,       // this process drains, or a successor serves
 };
 inline constexpr std::array<std::string_view, 12> kSessionEndNames{
     "client_closed",   "read_failed", "write_failed",     "answered",
@@ -33,25 +33,25 @@
 static_assert(kSessionEndNames.size() ==
               static_cast<std::size_t>(SessionEndReason::process_ends) + 1);
 
-// The end of an attempt, by what showed on its connection.
+// Of an attempt.
 enum class AttemptEndReason {
-  response_complete,  // a whole answer, whatever its status
-  not_started,  // nothing was written: the client has gone, the server drains, or it is too late
-  deadline_before_connect,  // the request's own time ran out while the connection came up
+  response_complete,        // a complete response, whatever its status
+  not_started,              // nothing written: client gone, server draining, or deadline too near
+  deadline_before_connect,  // the request's deadline passed while the connection was opened
   local_failure,            // this machine could not open a connection
-  connect_failed,           // the connection was refused or reset before it was up
-  connect_timeout,          // the connection did not come up
-  write_failed,             // it broke before the request's last byte was written
-  request_body_broken,      // the rest of the request's body did not come from its client
-  reset,                    // it broke after that
-  ended_early,              // the server ended it before its answer was whole
-  malformed,                // what came is no answer
-  unsolicited_data,         // bytes came that belong to another answer
-  trailing_bytes,           // more came behind a whole answer
-  timed_out,                // no whole answer came in time
-  stalled,                  // an answer that was being passed on stopped
-  client_disconnected,      // nobody waits for the answer that began to come
-  cancelled,                // it was given up by a decision
+  connect_failed,           // the connection was refused or reset before it was established
+  connect_timeout,          // the connection was not established in time
+  write_failed,             // the connection broke before the request's last byte was written
+  request_body_broken,      // the client did not send the rest of the request's body
+  reset,                    // the connection broke after the request was written
+  ended_early,              // the server closed it before its response was complete
+  malformed,                // the received bytes are not a valid response
+  unsolicited_data,         // bytes arrived that don't belong to this attempt's response
+  trailing_bytes,           // bytes followed a complete response
+  timed_out,                // no complete response in time
+  stalled,                  // a streamed response stopped
+  client_disconnected,      // the client disconnected before the response was streamed
+  cancelled,                // by a decision of the module
 };
 inline constexpr std::array<std::string_view, 17> kAttemptEndNames{
     "answered",        "not_started",  "no_time",        "local_failure", "connect_failed",
@@ -69,23 +69,22 @@
 inline constexpr std::array<std::string_view, 8> kOutcomeNames{
     "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "never_sent"};
 
-constexpr std::string_view name_of(SessionEndReason end) {
-  return kSessionEndNames.at(static_cast<std::size_t>(end));
+constexpr std::string_view name_of(SessionEndReason reason) {
+  return kSessionEndNames.at(static_cast<std::size_t>(reason));
 }
-constexpr std::string_view name_of(AttemptEndReason end) {
-  return kAttemptEndNames.at(static_cast<std::size_t>(end));
+constexpr std::string_view name_of(AttemptEndReason reason) {
+  return kAttemptEndNames.at(static_cast<std::size_t>(reason));
 }
 constexpr std::string_view name_of(AttemptOutcome outcome) {
   return kOutcomeNames.at(static_cast<std::size_t>(outcome));
 }
-constexpr std::string_view name_of(RejectionReason cause) {
-  return kRejectionReasonNames.at(static_cast<std::size_t>(cause));
+constexpr std::string_view name_of(RejectionReason reason) {
+  return kRejectionReasonNames.at(static_cast<std::size_t>(reason));
 }
 
-// Whether an end is this node's own decision, and not its client's or that of what the client was
-// to get.
-constexpr bool is_decided_here(SessionEndReason end) {
-  switch (end) {
+// Whether this node decided to end the session, rather than the client or a broken response.
+constexpr bool is_local_decision(SessionEndReason reason) {
+  switch (reason) {
     case SessionEndReason::response_complete:
     case SessionEndReason::idle:
     case SessionEndReason::descriptor_needed:
@@ -94,7 +93,7 @@
   }
 }
 
-// How often each value of an enumeration has occurred.
+// Number of occurrences of each value of an enumeration.
 template <class Reason, std::size_t kCount>
 class ReasonCounts {
  public:
--- a/src/node/http_server.cpp
+++ b/src/node/http_server.cpp
@@ -24,22 +24,22 @@
   if (acceptor_.is_open()) acceptor_.close();
   acceptor_.open(at.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
-  // So that a new version can start even where its predecessor hands nothing over.
+  // A new process can then listen although its predecessor hands nothing over.
   acceptor_.set_option(asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
   acceptor_.bind(at);
   acceptor_.listen(asio::socket_base::max_listen_connections);
   start_listening();
 }
 
-void HttpServer::adopt(int listening) {
-  acceptor_.assign(Tcp::v4(), listening);
+void HttpServer::adopt(int listening_socket) {
+  acceptor_.assign(Tcp::v4(), listening_socket);
   start_listening();
 }
 
 void HttpServer::start_listening() {
   acceptor_.non_blocking(true);
-  // A client that has gone before it was accepted is told of: the library would wait for the next
-  // one to come, though others may stand in the queue already.
+  // Reports a client that disconnected before it was accepted. Without this option the library
+  // waits for the next connection to arrive although others may already be queued.
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
   accept();
   timers_.after(limits::kSessionSweepInterval, [this] { sweep(); });
@@ -48,7 +48,7 @@
 void HttpServer::stop_accepting() {
   accepting_stopped_ = true;
   error_code ignored;
-  acceptor_.cancel(ignored);  // the socket stays open: the queue is shared
+  acceptor_.cancel(ignored);  // not closed: the successor shares the socket and its queue
 }
 
 void HttpServer::resume() {
@@ -66,19 +66,19 @@
     return;
   }
   accept_pending_ = callbacks_.can_lend_descriptor() || eviction_candidate();
-  if (!accept_pending_) return;  // goes on when a session ends, or holds nothing that was taken
-  // Beyond the share a client is only taken once it is there and room is made: whoever could be let
-  // go before may have asked for something meanwhile.
+  if (!accept_pending_) return;  // resume_accepting() continues
+  // Above its share the server waits for a connection before it frees a descriptor: a session that
+  // was evictable when the wait began may have received a request meanwhile.
   acceptor_.async_wait(Tcp::acceptor::wait_read, [this](const error_code& failed) {
     if (failed == asio::error::operation_aborted || accepting_stopped_) return;
     accept_pending_ = sessions_.size() < max_sessions_ || callbacks_.lend_descriptor() ||
                       evict_idle();
     if (!accept_pending_) return;
-    error_code none;
+    error_code accept_error;
     Socket socket(io_.get_executor());
-    acceptor_.accept(socket, none);
-    if (none == asio::error::would_block) return accept();  // it has gone
-    on_accepted(none, std::move(socket));
+    acceptor_.accept(socket, accept_error);
+    if (accept_error == asio::error::would_block) return accept();  // the client has disconnected
+    on_accepted(accept_error, std::move(socket));
   });
 }
 
@@ -86,8 +86,7 @@
   if (failed) {
     ++accept_failures_;
     if (is_transient_accept_failure(failed)) return accept();
-    // For want of a descriptor, most likely, one that idles is given up; the next try comes after a
-    // moment.
+    // Most likely no descriptor is free: evicts a session and accepts again after a delay.
     if (!is_system_shortage(failed)) evict_idle();
     timers_.after(limits::kAcceptRetryDelay, [this] { accept(); });
     return;
@@ -99,18 +98,18 @@
   accept();
 }
 
-// Gives up the session that has idled longest; if none idles, the one of whose request nothing has
-// come for longest: of a crowd that stops half way those who go on writing are kept. A request that
-// has come whole is never given up.
+// The session that has been idle longest; if none is idle, the one whose partial request has
+// received nothing for longest, so that clients that keep sending are kept. A session with a
+// complete request is never a candidate.
 std::shared_ptr<HttpSession> HttpServer::eviction_candidate() const {
-  std::shared_ptr<HttpSession> oldest;
-  const auto before = [](const auto& a, const auto& b) {
+  std::shared_ptr<HttpSession> candidate;
+  const auto evicted_before = [](const auto& a, const auto& b) {
     return std::pair(!a->is_idle(), a->last_received_time()) <
            std::pair(!b->is_idle(), b->last_received_time());
   };
   for (const auto& s : sessions_)
-    if (s->is_evictable() && (!oldest || before(s, oldest))) oldest = s;
-  return oldest;
+    if (s->is_evictable() && (!candidate || evicted_before(s, candidate))) candidate = s;
+  return candidate;
 }
 
 bool HttpServer::evict_idle() {
@@ -119,7 +118,7 @@
   return session != nullptr;
 }
 
-void HttpServer::forget(const std::shared_ptr<HttpSession>& session) {
+void HttpServer::remove_session(const std::shared_ptr<HttpSession>& session) {
   sessions_.erase(session);
   resume_accepting();
 }
@@ -133,10 +132,10 @@
   const std::vector<std::shared_ptr<HttpSession>> all(sessions_.begin(), sessions_.end());
   for (const auto& s : all) {
     s->sweep(now);
-    const auto idle = accepting_stopped_ ? limits::kHandedOverIdleTimeout
-                                         : limits::kNewConnectionsAfterTerm;
+    const auto idle_timeout = accepting_stopped_ ? limits::kHandedOverIdleTimeout
+                                                 : limits::kNewConnectionsAfterTerm;
     if ((draining_ || accepting_stopped_) && s->has_no_unread_input() &&
-        now - s->state_since() > idle)
+        now - s->last_progress_time() > idle_timeout)
       s->close_lingering(SessionEndReason::process_ends);
   }
   timers_.after(limits::kSessionSweepInterval, [this] { sweep(); });
@@ -144,22 +143,22 @@
 
 void HttpServer::drain(Duration longest_deadline) {
   draining_ = true;
-  last_accept_time_ = drain_started_ = timers_.now();
-  drain_deadline_ = drain_started_ + std::min(longest_deadline, limits::kMaxDeadlineAtTerm) +
+  last_accept_time_ = drain_started_time_ = timers_.now();
+  drain_deadline_ = drain_started_time_ + std::min(longest_deadline, limits::kMaxDeadlineAtTerm) +
                     limits::kKillDelayAfterTerm - limits::kFinalResponseMargin;
-  if (accepting_stopped_) return;  // they are told with their next answers
+  if (accepting_stopped_) return;  // the sessions end with their next responses
   const std::vector<std::shared_ptr<HttpSession>> all(sessions_.begin(), sessions_.end());
   for (const auto& s : all)
+    // A new session has a request on its way.
     if (s->has_no_unread_input() && !s->awaits_first_request())
-      s->close_lingering(
-          SessionEndReason::process_ends);  // those that are new have a request on its way
+      s->close_lingering(SessionEndReason::process_ends);
 }
 
-// Clients send up to SIGKILL on whatever stays open, and what SIGKILL finds unanswered of that is
-// lost: a request that comes late has no more time than this process.
+// Limits the deadline of a request that arrives late during a drain to the process's own: clients
+// send on open connections up to SIGKILL, and a request without a response by then is lost.
 void HttpServer::shorten_deadline(ClientRequest& request) const {
   const Time now = timers_.now();
-  if (!draining_ || now - drain_started_ <= limits::kNewConnectionsAfterTerm) return;
+  if (!draining_ || now - drain_started_time_ <= limits::kNewConnectionsAfterTerm) return;
   if (request.deadline <= drain_deadline_) return;
   if (drain_deadline_ <= now)
     throw RequestError(http::status::service_unavailable, "this process ends");
@@ -167,7 +166,7 @@
   request.arrival.time_left = drain_deadline_ - now;
 }
 
-// Clients that have their answers and do not close don't hold the process up to SIGKILL.
+// Clients that have their responses but do not close don't delay the exit beyond the deadline.
 bool HttpServer::drained() const {
   const Time now = timers_.now();
   if (!draining_ || now - last_accept_time_ <= limits::kNewConnectionsAfterTerm) return false;
--- a/src/node/http_server.hpp
+++ b/src/node/http_server.hpp
@@ -1,5 +1,6 @@
-// The listener for clients and its sessions: accepts within a bound, gives up sessions that hold
-// nothing that was taken, and ends in time after SIGTERM.
+// The client listener and its sessions: accepts up to a bound, evicts sessions without an accepted
+// request when descriptors are short, and drains before SIGKILL. Owned by Node and used on the
+// thread of the io_context; it does not decide about requests.
 #pragma once
 
 #include <boost/asio/basic_socket_acceptor.hpp>
@@ -19,15 +20,15 @@
  public:
   struct Callbacks {
     virtual bool is_ready() = 0;
-    // The number given is the session's way to say later that its client has gone.
+    // Returns the request's number, with which on_client_disconnected is called later.
     virtual std::uint64_t on_request(ClientRequest request,
                                      std::shared_ptr<HttpSession> session) = 0;
     virtual void on_client_disconnected(std::uint64_t request) = 0;
-    // A session did what the rules turn down.
+    // A session was about to break a guarantee to its client.
     virtual void on_invariant_violation(policy::InvariantViolation,
                                         const std::string& /*request_id*/) {}
-    // More sessions than their share, where servers' connections leave or can give up descriptors:
-    // whether one could be had, and having it.
+    // Whether a descriptor from the price servers' share can be used for one more session, and
+    // taking it, if need be by closing an idle server connection.
     virtual bool can_lend_descriptor() const { return false; }
     virtual bool lend_descriptor() { return false; }
 
@@ -39,21 +40,21 @@
              std::size_t max_sessions, Callbacks& owner);
 
   void listen(const Tcp::endpoint& at);
-  // The same on a socket that listens already.
-  void adopt(int listening);
+  // Accepts on a socket that already listens, and takes ownership of it.
+  void adopt(int listening_socket);
   int listener() { return acceptor_.native_handle(); }
-  // A successor accepts from now on: each connection that is kept ends with its next answer. Or it
-  // does so no more, and this process goes on.
+  // Leaves accepting to a successor: each open connection ends with its next response.
   void stop_accepting();
+  // Accepts again after the successor has ended.
   void resume();
-  // Requests that come whole from now on are read under these.
+  // Applies to requests that are parsed from now on.
   void set_settings(std::shared_ptr<const Settings> settings) { settings_ = std::move(settings); }
-  Tcp::endpoint listens_at() const { return acceptor_.local_endpoint(); }
-  // From now on every answer ends its connection, and those without a request are closed.
-  // `longest_deadline` is that of the classes of the configuration in force: SIGKILL follows it.
+  Tcp::endpoint listen_address() const { return acceptor_.local_endpoint(); }
+  // From now on each response ends its connection, and idle connections are closed.
+  // `longest_deadline` is the longest of the configured classes; the time of SIGKILL depends on it.
   void drain(Duration longest_deadline);
   bool drained() const;
-  // By when the last answers have to leave before SIGKILL; it is known once drain() was called.
+  // When the last responses must be written, before SIGKILL; Time::max() before drain().
   Time drain_deadline() const { return drain_deadline_; }
   void set_max_sessions(std::size_t max_sessions) { max_sessions_ = max_sessions; }
   std::size_t size() const { return sessions_.size(); }
@@ -61,7 +62,7 @@
   const StatusCounts& rejected_requests() const { return rejected_requests_; }
   const SessionEnds& session_ends() const { return session_ends_; }
   std::uint64_t accept_failures() const { return accept_failures_; }
-  // Gives up the session that has been silent longest of those that hold nothing that was taken.
+  // Evicts a session without an accepted request, see eviction_candidate(); false if there is none.
   bool evict_idle();
 
  private:
@@ -74,8 +75,8 @@
   void shorten_deadline(ClientRequest& request) const;
   std::shared_ptr<HttpSession> eviction_candidate() const;
   void sweep();
-  void forget(const std::shared_ptr<HttpSession>& session);
-  void resume_accepting();  // a session has ended, or can be given up now
+  void remove_session(const std::shared_ptr<HttpSession>& session);
+  void resume_accepting();  // called when a session has ended or has become evictable
 
   asio::io_context& io_;
   Timers& timers_;
@@ -88,11 +89,10 @@
   SessionEnds session_ends_;
   bool draining_ = false;
   bool accepting_stopped_ = false;
-  bool accept_pending_ = true;  // an accept is pending, or a timer that starts one
+  bool accept_pending_ = true;  // an accept is pending, or a timer that will start one
   std::uint64_t accept_failures_ = 0;
   Time last_accept_time_{};
-  Time drain_started_{},
-      drain_deadline_ = Time::max();  // when it began to drain, and has to have ended
+  Time drain_started_time_{}, drain_deadline_ = Time::max();
 };
 
 }  // namespace petrelrail
--- a/src/node/http_session.cpp
+++ b/src/node/http_session.cpp
@@ -21,16 +21,16 @@
       socket_(std::move(socket)),
       opened_time_(server.timers_.now()),
       last_received_time_(opened_time_),
-      state_since_(opened_time_) {}
+      last_progress_time_(opened_time_) {}
 
 void HttpSession::start() {
   set_no_delay(socket_);
   read();
 }
 
-void HttpSession::enter(State stage) {
-  state_ = stage;
-  state_since_ = server_.timers_.now();
+void HttpSession::enter(State state) {
+  state_ = state;
+  last_progress_time_ = server_.timers_.now();
 }
 
 void HttpSession::read() {
@@ -39,7 +39,7 @@
     if (reading_paused_time_ == Time{}) reading_paused_time_ = server_.timers_.now();
     return;
   }
-  // What the body had to wait for is not the client's time.
+  // The time during which the body buffer was full does not count against the client.
   if (const auto paused = std::exchange(reading_paused_time_, {}); paused != Time{})
     request_started_time_ += server_.timers_.now() - paused;
   read_pending_ = true;
@@ -59,9 +59,9 @@
   buffer_.commit(bytes);
   last_received_time_ = server_.timers_.now();
   request_bytes_ += bytes;
-  // A client that writes on while its request is out is kept by one message at most. Of more
-  // nothing is kept and the session ends with the answer, but it is read on: else a close behind it
-  // would not be seen.
+  // While a request is in flight at most one further message is buffered. Beyond that, input is
+  // discarded and the session ends with the response, but reading continues, because a close behind
+  // the input would not be noticed otherwise.
   if (state_ != State::reading && !body_stream_ &&
       buffer_.size() > limits::kMaxHeaderBytes + limits::kMaxBodyBytes)
     keep_alive_ = false;
@@ -81,7 +81,7 @@
 void HttpSession::parse() {
   if (buffer_.size() == 0) return;
   if (!std::exchange(request_started_, true)) {
-    request_started_time_ = state_since_ = server_.timers_.now();
+    request_started_time_ = last_progress_time_ = server_.timers_.now();
     request_bytes_ = buffer_.size();
     parser_.emplace();
     parser_->header_limit(limits::kMaxHeaderBytes);
@@ -96,7 +96,8 @@
   if (parser_->is_done() || is_long) on_request_parsed();
 }
 
-// Takes what has come into the parser; false if that can't be parsed, which has been answered.
+// Passes the buffered input to the parser. Returns false after a parse error, which it has
+// answered.
 bool HttpSession::feed_parser() {
   error_code failed;
   while (!parser_->is_done() && buffer_.size() > 0) {
@@ -120,25 +121,25 @@
   return true;
 }
 
-// The rest of a body that is passed on.
+// Appends to the body of a request that is already being forwarded.
 void HttpSession::on_body_data() {
   if (!feed_parser()) return;
   auto& body = parser_->get().body();
-  const auto upload = body_stream_;
+  const auto stream = body_stream_;
   if (parser_->is_done()) body_stream_.reset();
-  if (!body.empty()) upload->append(std::exchange(body, {}));
+  if (!body.empty()) stream->append(std::exchange(body, {}));
   if (body_stream_) return;
   parser_.reset();
-  upload->finish();
+  stream->finish();
 }
 
 void HttpSession::on_request_parsed() {
-  const bool whole = parser_->is_done();
+  const bool is_complete = parser_->is_done();
   auto& head = parser_->get().base();
-  ParsedRequest message(whole ? http::request_header<>(std::move(head))
-                              : http::request_header<>(head));
+  ParsedRequest message(is_complete ? http::request_header<>(std::move(head))
+                                    : http::request_header<>(head));
   message.body() = std::exchange(parser_->get().body(), {});
-  if (whole) {
+  if (is_complete) {
     parser_.reset();
   } else {
     const auto length = parser_->content_length();
@@ -148,7 +149,7 @@
       if (const auto self = weak.lock()) self->read();
     });
   }
-  const auto upload = body_stream_;
+  const auto stream = body_stream_;
   request_started_ = awaits_first_request_ = false;
   keep_alive_ = message.keep_alive();
   request_id_.clear();
@@ -157,18 +158,18 @@
   enter(State::waiting);
   const string_view target(message.target().data(), message.target().size());
   if (target == "/-/ready") {
-    const bool good = server_.callbacks_.is_ready() && !server_.draining_;
-    return write({good ? http::status::ok : http::status::service_unavailable,
-                  good ? "ready\n" : "not ready\n",
+    const bool is_ready = server_.callbacks_.is_ready() && !server_.draining_;
+    return write({is_ready ? http::status::ok : http::status::service_unavailable,
+                  is_ready ? "ready\n" : "not ready\n",
                   "text/plain",
                   {}});
   }
   try {
     auto request = read_request(message, server_.settings_, server_.timers_.now());
     server_.shorten_deadline(request);
-    if (upload) {
-      upload->append(std::exchange(request.body, {}));
-      request.body_stream = upload;
+    if (stream) {
+      stream->append(std::exchange(request.body, {}));
+      request.body_stream = stream;
     }
     request_id_ = request.request_id;
     const auto number = server_.callbacks_.on_request(std::move(request), shared_from_this());
@@ -179,32 +180,32 @@
   }
 }
 
-void HttpSession::reject(http::status status, const std::string& why) {
+void HttpSession::reject(http::status status, const std::string& message) {
   ++server_.rejected_requests_[body_stream_ ? 0 : static_cast<unsigned>(status)];
-  // Of a request that is out already: it will not come whole.
+  // The request is already being forwarded, and its body will never be complete.
   if (body_stream_) return close(SessionEndReason::malformed);
   keep_alive_ = false;
   buffer_.clear();
-  write({status, why + "\n", "text/plain", {}});
+  write({status, message + "\n", "text/plain", {}});
 }
 
-void HttpSession::send(const Response& answer) {
+void HttpSession::send(const Response& response) {
   request_number_ = 0;
-  if (state_ == State::waiting) write(answer);
+  if (state_ == State::waiting) write(response);
 }
 
-void HttpSession::write(const Response& answer) {
+void HttpSession::write(const Response& response) {
   enter(State::writing);
   if (std::exchange(body_stream_, nullptr))
-    parser_.reset(), keep_alive_ = false;  // the rest is read for nobody
+    parser_.reset(), keep_alive_ = false;  // the rest of the body is discarded
   if (server_.draining_ || server_.accepting_stopped_) keep_alive_ = false;
-  pending_output_ += response_head(answer.status, answer.content_type, answer.body.size(), false,
-                                   keep_alive_, answer.body.size());
-  if (answer.retry_after > Duration{}) {
-    append_retry_after(pending_output_, answer.retry_after);
+  pending_output_ += response_head(response.status, response.content_type, response.body.size(),
+                                   false, keep_alive_, response.body.size());
+  if (response.retry_after > Duration{}) {
+    append_retry_after(pending_output_, response.retry_after);
   }
   pending_output_.append("\r\n");
-  if (!is_head_request_) pending_output_.append(answer.body);
+  if (!is_head_request_) pending_output_.append(response.body);
   write_some();
 }
 
@@ -220,14 +221,14 @@
                      "\r\n";
 }
 
-void HttpSession::write_chunk(string_view piece, std::function<void()> taken) {
+void HttpSession::write_chunk(string_view chunk, std::function<void()> on_written) {
   if (state_ != State::streaming) return;
-  if (response_is_chunked_ && !piece.empty()) {
-    append_chunk(pending_output_, piece);
+  if (response_is_chunked_ && !chunk.empty()) {
+    append_chunk(pending_output_, chunk);
   } else {
-    pending_output_.append(piece);
+    pending_output_.append(chunk);
   }
-  on_chunk_written_ = std::move(taken);
+  on_chunk_written_ = std::move(on_written);
   write_some();
 }
 
@@ -244,12 +245,12 @@
   if (state_ != State::streaming) return;
   keep_alive_ = false;
   end_reason_ = SessionEndReason::response_broken;
-  if (response_is_framed_) {  // its end is missing, which tells; a reset would take with it what
-                              // the client has not read
+  // The client sees that the end is missing; a reset would discard what it has not read yet.
+  if (response_is_framed_) {
     enter(State::writing);
     return write_some();
   }
-  // The end of the connection would be the end of the answer.
+  // Without framing a normal close would mark the end of the response, so the connection is reset.
   error_code ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   close(SessionEndReason::response_broken);
@@ -263,7 +264,7 @@
     std::swap(write_buffer_, pending_output_);
   }
   if (write_buffer_.empty()) {
-    if (state_ == State::writing) on_written();
+    if (state_ == State::writing) on_response_written();
     return;
   }
   write_pending_ = true;
@@ -273,15 +274,15 @@
         self->write_pending_ = false;
         if (self->is_closed()) return;
         if (failed) return self->close(SessionEndReason::write_failed);
-        self->state_since_ = self->server_.timers_.now();
+        self->last_progress_time_ = self->server_.timers_.now();
         self->bytes_written_ += bytes;
         if (self->bytes_written_ == self->write_buffer_.size() && self->pending_output_.empty())
-          if (const auto taken = std::exchange(self->on_chunk_written_, nullptr)) taken();
+          if (const auto on_written = std::exchange(self->on_chunk_written_, nullptr)) on_written();
         self->write_some();
       });
 }
 
-void HttpSession::on_written() {
+void HttpSession::on_response_written() {
   write_buffer_ = {};
   if (!keep_alive_) return close_lingering(SessionEndReason::response_complete);
   enter(State::reading);
@@ -294,20 +295,20 @@
   if (is_closed()) return false;
   pollfd client{socket_.native_handle(), POLLIN | POLLRDHUP, 0};
   if (retry_on_interrupt([&] { return ::poll(&client, 1, 0); }) <= 0)
-    return true;  // nothing has come
+    return true;  // neither data nor a close
   char byte = 0;
-  const bool open = (client.revents & (POLLRDHUP | POLLHUP | POLLERR)) == 0 &&
-                    retry_on_interrupt([&] {
-                      return ::recv(client.fd, &byte, sizeof byte, MSG_PEEK | MSG_DONTWAIT);
-                    }) != 0;
-  if (!open)
+  const bool is_open = (client.revents & (POLLRDHUP | POLLHUP | POLLERR)) == 0 &&
+                       retry_on_interrupt([&] {
+                         return ::recv(client.fd, &byte, sizeof byte, MSG_PEEK | MSG_DONTWAIT);
+                       }) != 0;
+  if (!is_open)
     asio::post(socket_.get_executor(),
                [self = shared_from_this()] { self->close(SessionEndReason::client_closed); });
-  return open;
+  return is_open;
 }
 
-void HttpSession::close_lingering(SessionEndReason why) {
-  if (!end_reason_) end_reason_ = why;
+void HttpSession::close_lingering(SessionEndReason reason) {
+  if (!end_reason_) end_reason_ = reason;
   error_code ignored;
   socket_.shutdown(Socket::shutdown_send, ignored);
   buffer_.clear();
@@ -317,11 +318,10 @@
   server_.resume_accepting();
 }
 
-// For its descriptor, which is needed now. A request that has begun to come, read or not, has its
-// answer: that it is refused and may be sent again. What lies unread is read, so that the close is
-// no reset where it can be none.
-void HttpSession::evict(SessionEndReason why) {
-  if (!end_reason_) end_reason_ = why;
+// A request that has begun to arrive, read or not, is answered 503 so that the client may retry it.
+// Unread input is read first, because closing with unread bytes would cause a reset.
+void HttpSession::evict(SessionEndReason reason) {
+  if (!end_reason_) end_reason_ = reason;
   error_code failed;
   if (state_ == State::reading && !has_no_unread_input()) reject_immediately();
   socket_.shutdown(Socket::shutdown_send, failed);
@@ -332,11 +332,11 @@
     };
     if (retry_on_interrupt(read) <= 0) break;
   }
-  close(why);
+  close(reason);
 }
 
-// Without waiting: nothing else is on its way to this client, and the system has room for so
-// little.
+// Writes without waiting: nothing else is being written to this client, and a response this small
+// fits into the socket's send buffer.
 void HttpSession::reject_immediately() {
   static constexpr auto kStatus = http::status::service_unavailable;
   ++server_.rejected_requests_[static_cast<unsigned>(kStatus)];
@@ -347,74 +347,76 @@
     const auto write = [&] {
       return ::send(socket_.native_handle(), rest.data(), rest.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     };
-    const auto n = retry_on_interrupt(write);
-    if (n <= 0) return;
-    sent += static_cast<std::size_t>(n);
+    const auto bytes = retry_on_interrupt(write);
+    if (bytes <= 0) return;
+    sent += static_cast<std::size_t>(bytes);
   }
 }
 
-void HttpSession::close(SessionEndReason why) {
+void HttpSession::close(SessionEndReason reason) {
   if (is_closed()) return;
-  const bool unanswered = request_number_ != 0 || state_ == State::streaming ||
-                          state_ == State::writing;
-  const auto reason = end_reason_.value_or(why);
-  server_.session_ends_.add(reason);
-  if (unanswered) log_unanswered(reason);
-  if (const auto breach = policy::may_close_session(unanswered, is_decided_here(reason)))
-    server_.callbacks_.on_invariant_violation(*breach, request_id_);
+  const bool is_unanswered = request_number_ != 0 || state_ == State::streaming ||
+                             state_ == State::writing;
+  const auto end_reason = end_reason_.value_or(reason);
+  server_.session_ends_.add(end_reason);
+  if (is_unanswered) log_unanswered(end_reason);
+  if (const auto violation = policy::may_close_session(is_unanswered,
+                                                       is_local_decision(end_reason)))
+    server_.callbacks_.on_invariant_violation(*violation, request_id_);
   const auto request = std::exchange(request_number_, 0);
   enter(State::closed);
   close_now(socket_);
   on_chunk_written_ = nullptr;
   const auto self = shared_from_this();
-  server_.forget(self);
+  server_.remove_session(self);
   if (request != 0) server_.callbacks_.on_client_disconnected(request);
-  if (const auto upload = std::exchange(body_stream_, nullptr)) upload->abort();
+  if (const auto stream = std::exchange(body_stream_, nullptr)) stream->abort();
 }
 
-// A client that leaves is no event; any other end without a whole answer is.
-void HttpSession::log_unanswered(SessionEndReason why) const {
-  if (why == SessionEndReason::client_closed) {
+// A client that disconnects is normal; any other end without a complete response is a warning.
+void HttpSession::log_unanswered(SessionEndReason reason) const {
+  if (reason == SessionEndReason::client_closed) {
     if (log::follows_requests()) log::request("clients", "client left", {{"request", request_id_}});
     return;
   }
   log::warning("clients", "connection ended without a whole answer",
-               {{"request", request_id_}, {"reason", std::string(name_of(why))}});
+               {{"request", request_id_}, {"reason", std::string(name_of(reason))}});
 }
 
 void HttpSession::sweep(Time now) {
-  if (state_ == State::streaming && !write_pending_) return;  // the server's turn
+  if (state_ == State::streaming && !write_pending_) return;  // waits for the server
   if (state_ == State::waiting && body_stream_ && read_pending_ &&
-      now - request_started_time_ >= request_limit())
+      now - request_started_time_ >= request_timeout())
     return close(SessionEndReason::request_too_slow);
-  if (state_ == State::lingering && now - state_since_ < limits::kMaxLingerTime &&
+  if (state_ == State::lingering && now - last_progress_time_ < limits::kMaxLingerTime &&
       now - last_received_time_ < limits::kLingerTimeout)
     return;
-  const bool writes = state_ == State::writing || state_ == State::streaming;
-  const auto limit = writes                       ? limits::kWriteTimeout
-                     : state_ == State::lingering ? limits::kLingerTimeout
-                     : request_started_           ? request_limit()
-                     : awaits_first_request_      ? limits::kHeaderTimeout
-                                                  : limits::kClientIdleTimeout;
-  // Whoever connects has so long for its first request, with whatever pauses.
-  const Time from = state_ == State::reading && awaits_first_request_ ? opened_time_ : state_since_;
-  if (state_ == State::waiting || now - from < limit) return;
+  const bool is_writing = state_ == State::writing || state_ == State::streaming;
+  const auto timeout = is_writing                   ? limits::kWriteTimeout
+                       : state_ == State::lingering ? limits::kLingerTimeout
+                       : request_started_           ? request_timeout()
+                       : awaits_first_request_      ? limits::kHeaderTimeout
+                                                    : limits::kClientIdleTimeout;
+  // The first request's time counts from the connect, whatever pauses the client makes.
+  const Time start = state_ == State::reading && awaits_first_request_ ? opened_time_
+                                                                       : last_progress_time_;
+  if (state_ == State::waiting || now - start < timeout) return;
   if (state_ == State::reading && request_started_)
     return request_started_ = false,
            reject(http::status::request_timeout, "the request did not come");
-  if (state_ == State::reading && !has_no_unread_input()) return;  // what has come is read first
+  if (state_ == State::reading && !has_no_unread_input()) return;  // received bytes are read first
   if (state_ == State::reading && !awaits_first_request_)
     return close_lingering(SessionEndReason::idle);
-  if (state_ == State::reading) ++server_.rejected_requests_[0];  // it has sent nothing
-  evict(writes ? SessionEndReason::reader_too_slow : SessionEndReason::request_too_slow);
+  if (state_ == State::reading) ++server_.rejected_requests_[0];  // the client has sent nothing
+  evict(is_writing ? SessionEndReason::reader_too_slow : SessionEndReason::request_too_slow);
 }
 
-// A head has its time, and a body as much more as what has come takes a slow client.
-Duration HttpSession::request_limit() const {
+// Time for a header, plus the time that the bytes received so far take at the minimum body rate.
+Duration HttpSession::request_timeout() const {
   if (!parser_ || !parser_->is_header_done()) return limits::kHeaderTimeout;
-  const std::chrono::duration<double> more(static_cast<double>(request_bytes_) /
-                                           limits::kMinBodyBytesPerSecond);
-  return limits::kHeaderTimeout + std::chrono::duration_cast<Duration>(more);
+  const std::chrono::duration<double> body_time(static_cast<double>(request_bytes_) /
+                                                limits::kMinBodyBytesPerSecond);
+  return limits::kHeaderTimeout + std::chrono::duration_cast<Duration>(body_time);
 }
 
 }  // namespace petrelrail
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -7,20 +7,25 @@
 namespace petrelrail {
 namespace {
 
-// What is kept for the node's own is the most it can need, and is kept whole while a part of the
-// limit is left beside it: of a smaller limit the node does with less, as it seldom needs that.
-std::size_t for_peers(const NodeConfig& c) {
-  const auto own = limits::kReservedDescriptors + limits::kCounterConnections + (c.gossip ? 1 : 0);
-  const auto least = std::max<std::size_t>(
+// Descriptors for clients and price servers together. The reserve for the node's own descriptors is
+// the maximum it can need. Under a small limit the reserve shrinks so that kMinPeerDescriptorShare
+// remains, because the node seldom needs all of it.
+std::size_t peer_descriptors(const NodeConfig& c) {
+  const auto reserved = limits::kReservedDescriptors + limits::kCounterConnections +
+                        (c.gossip ? 1 : 0);
+  const auto minimum = std::max<std::size_t>(
       1, static_cast<std::size_t>(limits::kMinPeerDescriptorShare *
                                   static_cast<double>(c.descriptors)));
-  return std::max(c.descriptors - std::min(own, c.descriptors), least);
+  return std::max(c.descriptors - std::min(reserved, c.descriptors), minimum);
 }
-std::size_t for_clients(const NodeConfig& c) {
-  return std::max<std::size_t>(1, static_cast<std::size_t>(limits::kClientDescriptorShare *
-                                                           static_cast<double>(for_peers(c))));
+std::size_t client_descriptors(const NodeConfig& c) {
+  return std::max<std::size_t>(1,
+                               static_cast<std::size_t>(limits::kClientDescriptorShare *
+                                                        static_cast<double>(peer_descriptors(c))));
+}
+std::size_t server_descriptors(const NodeConfig& c) {
+  return peer_descriptors(c) - client_descriptors(c);
 }
-std::size_t for_servers(const NodeConfig& c) { return for_peers(c) - for_clients(c); }
 
 }  // namespace
 
@@ -29,18 +34,18 @@
       config_(std::move(config)),
       timers_(io, clock_),
       upstream_(io, timers_, config_.settings.settings.connect_timeout, config_.keep_alive,
-                for_servers(config_), *this),
+                server_descriptors(config_), *this),
       gateway_(config_.settings.settings, config_.seed, &upstream_),
       discovery_(
           io, timers_, config_.discovery, config_.discovery_host, config_.settings.names.zones,
-          [this](EndpointListKind kind, const auto& entries) { list_changed(kind, entries); },
+          [this](EndpointListKind kind, const auto& entries) { on_list_changed(kind, entries); },
           config_.settings.settings.drain_grace),
       http_server_(io, timers_, std::make_shared<const Settings>(config_.settings.settings),
-                   for_clients(config_), *this),
+                   client_descriptors(config_), *this),
       admin_server_(io, timers_, *this),
       hot_restart_(io, timers_, config_.handover_path, *this) {
   for (const auto& c : config_.settings.settings.classes) metrics_.response_counts(c.name);
-  if (config_.counter && config_.settings.settings.counter) counter_ = new_counter();
+  if (config_.counter && config_.settings.settings.counter) counter_ = make_counter_client();
   if (config_.gossip)
     gossip_ = std::make_unique<GossipTransport>(io_, timers_, *config_.gossip, config_.seed,
                                                 static_cast<GossipTransport::Callbacks&>(*this));
@@ -51,10 +56,10 @@
   }
 }
 
-std::unique_ptr<CounterClient> Node::new_counter() {
+std::unique_ptr<CounterClient> Node::make_counter_client() {
   return std::make_unique<CounterClient>(
       io_, timers_, *config_.counter, config_.settings.settings.counter_timeout,
-      [this](const CounterResponse& a) { handle_event(a); },
+      [this](const CounterResponse& response) { handle_event(response); },
       [this] { handle_event(CounterRecovered{}); }, config_.seed);
 }
 
@@ -67,12 +72,12 @@
     serve();
   } catch (const boost::system::system_error& x) {
     if (!is_system_shortage(x.code())) throw;
-    log::warning("node", "no socket to listen with: tried again", {{"why", x.code().message()}});
+    log::warning("node", "can't open the listener; retrying", {{"why", x.code().message()}});
     timers_.after(limits::kAcceptRetryDelay, [this] { serve_with_retry(); });
   }
 }
 
-// A machine that is short of sockets for a moment is no reason to end.
+// Retries when the machine is temporarily short of sockets, rather than ending the process.
 void Node::start_admin_server() {
   if (!config_.control) return;
   try {
@@ -83,11 +88,11 @@
   }
 }
 
-// ---- From one process to the next ---------------------------------------------------------------
+// ---- Hand-over to and from another process ------------------------------------------------------
 
 void Node::serve() {
-  if (inherited_) {
-    http_server_.adopt(inherited_.release());
+  if (inherited_listener_) {
+    http_server_.adopt(inherited_listener_.release());
   } else {
     http_server_.listen(config_.listen);
   }
@@ -96,26 +101,25 @@
   join_cluster(nullptr);
 }
 
-// Without its own address among the nodes a process serves all the same; it only knows of nobody.
+// A process that can't bind its peer address serves clients nevertheless, without membership.
 void Node::join_cluster(const nlohmann::json* predecessor) {
   if (!gossip_ || gossip_->started()) return;
-  const auto part = [&](const char* name) {
+  const auto section = [&](const char* name) {
     const auto* j = predecessor != nullptr && predecessor->contains(name) ? &predecessor->at(name)
                                                                           : nullptr;
     return j;
   };
   try {
-    const auto* member = part("member");
+    const auto* member = section("member");
     gossip_->start(member != nullptr ? std::optional(self_of(*member, gossip_->self()))
                                      : std::nullopt);
-    if (coordination_) coordination_->start(part("together"));
+    if (coordination_) coordination_->start(section("together"));
   } catch (const boost::system::system_error& x) {
     log::warning("members", "field 'peer_listen': " + x.code().message());
   }
 }
 
-// With what was handed over, if anything; a predecessor that hands nothing over may hold the
-// address yet.
+// Retries, because a predecessor that hands nothing over may still hold the listening address.
 void Node::serve_with_retry() {
   try {
     serve();
@@ -126,11 +130,12 @@
 }
 
 void Node::on_listener_received(Descriptor socket) {
-  inherited_ = std::move(socket);
+  inherited_listener_ = std::move(socket);
   request_state_when_ready();
 }
 
-// One that was told to end takes nothing over: what the predecessor holds would end with it.
+// A process that received SIGTERM takes nothing over: the predecessor's state would be lost with
+// it.
 void Node::request_state_when_ready() {
   if (serving_ || on_drained_) return;
   if (is_ready()) return hot_restart_.request_state();
@@ -176,31 +181,33 @@
   serve();
 }
 
-// Two that serve would be two nodes of one name.
+// Ends this process: two serving processes would be two nodes under one name.
 void Node::on_replaced() {
   if (serving_ || !on_replaced_) return;
   log::warning("handover", "another process follows: this one ends");
   on_replaced_();
 }
 
-// Two processes of a node count as one until the other has gone.
-void Node::limit_descriptors(std::size_t taken_by_clients, std::size_t taken_by_servers) {
-  const auto less = [](std::size_t all, std::size_t taken) {
-    return std::max(all / 2, all - std::min(all, taken));
+// During a hand-over both processes share the node's descriptors: this one leaves the other one's
+// share free, but keeps at least half.
+void Node::limit_descriptors(std::size_t used_by_clients, std::size_t used_by_servers) {
+  const auto remaining = [](std::size_t all, std::size_t used) {
+    return std::max(all / 2, all - std::min(all, used));
   };
-  http_server_.set_max_sessions(less(for_clients(config_), taken_by_clients));
-  upstream_.set_max_connections(less(for_servers(config_), taken_by_servers));
+  http_server_.set_max_sessions(remaining(client_descriptors(config_), used_by_clients));
+  upstream_.set_max_connections(remaining(server_descriptors(config_), used_by_servers));
 }
 
-// Each side has its share for sure. Clients may have what the servers leave of theirs, but for a
-// part that keeps a crowd from costing every request a handshake; connections that idle give way to
-// them. It is had back when the servers need it, from clients that hold nothing that was taken.
+// Clients and price servers are each guaranteed their share. Clients may also use what the price
+// servers leave of theirs, and idle server connections are closed for them, except for a floor that
+// keeps many clients from costing every request a handshake. The price servers reclaim it from
+// sessions without an accepted request.
 bool Node::can_lend_descriptor() const {
-  const auto keep = static_cast<std::size_t>(limits::kServerDescriptorFloorShare *
-                                             static_cast<double>(upstream_.max_connections()));
+  const auto floor = static_cast<std::size_t>(limits::kServerDescriptorFloorShare *
+                                              static_cast<double>(upstream_.max_connections()));
   const auto all = http_server_.max_sessions() + upstream_.max_connections();
   const auto busy = upstream_.size() - upstream_.stats().idle;
-  return http_server_.size() + std::max(keep, busy) < all;
+  return http_server_.size() + std::max(floor, busy) < all;
 }
 
 bool Node::lend_descriptor() {
@@ -224,11 +231,11 @@
     return void(eject_endpoint(*it, true));
   if (const auto it = message.find("put_back"); it != message.end())
     return void(eject_endpoint(*it, false));
-  throw std::runtime_error("a message that is not known");
+  throw std::runtime_error("unknown hand-over message");
 }
 
-// Before this process serves: it starts as one that found nobody. After: the other one has ended.
-// If that one had taken over, and this process was not told to end, the clients are its own again.
+// Before this process serves, it starts as if there were no predecessor. Afterwards the successor
+// has ended: if it had taken over, and this process is not draining, this process serves again.
 void Node::on_peer_lost() {
   limit_descriptors(0, 0);
   if (!serving_) {
@@ -247,8 +254,9 @@
 void Node::reconfigure(const NodeConfig& config) {
   validate_change(config_.settings.settings, config.settings.settings);
   for (const auto& c : config_.settings.settings.classes) {
-    std::erase_if(retired_classes_, [&](const auto& l) {
-      return l.request_class.name == c.name && l.request_class.idempotency == c.idempotency;
+    std::erase_if(retired_classes_, [&](const auto& retired) {
+      return retired.request_class.name == c.name &&
+             retired.request_class.idempotency == c.idempotency;
     });
     retired_classes_.push_back({c, timers_.now() + limits::kClassSwitchDelay + c.deadline});
   }
@@ -261,28 +269,29 @@
   }
   if (!counter_ || !config.counter || config.counter == config_.counter) return;
   config_.counter = config.counter;
-  draining_counters_.push_back(std::exchange(counter_, new_counter()));
-  // Calls that are out at the old address are still answered there; after their time-out none is
-  // left.
+  draining_counters_.push_back(std::exchange(counter_, make_counter_client()));
+  // Calls in flight to the old address end there, at the latest by their time-out.
   timers_.after(config_.settings.settings.counter_timeout,
                 [this] { draining_counters_.pop_front(); });
 }
 
-// The settings of the file, and what was dropped that clients may still use, a class or the effect
-// of one that stays: requests of these come until clients have turned to the new ones, and their
-// further tries for a class's deadline after that.
+// Applies the settings of the file together with the retired classes: requests of a class that was
+// removed, or whose idempotency changed, arrive until clients have switched to the new ones, and
+// their retries for the class's deadline after that.
 void Node::apply_settings() {
   auto settings = std::make_shared<Settings>(config_.settings.settings);
   auto& classes = settings->classes;
   const Time now = timers_.now();
-  std::erase_if(retired_classes_, [&](const auto& l) {
-    return l.until <= now || std::ranges::any_of(classes, [&](const RequestClass& c) {
-             return c.name == l.request_class.name && c.idempotency == l.request_class.idempotency;
+  std::erase_if(retired_classes_, [&](const auto& retired) {
+    return retired.retain_deadline <= now ||
+           std::ranges::any_of(classes, [&](const RequestClass& c) {
+             return c.name == retired.request_class.name &&
+                    c.idempotency == retired.request_class.idempotency;
            });
   });
   Time next = Time::max();
-  for (const auto& l : retired_classes_)
-    classes.push_back(l.request_class), next = std::min(next, l.until);
+  for (const auto& retired : retired_classes_)
+    classes.push_back(retired.request_class), next = std::min(next, retired.retain_deadline);
   for (const auto& c : classes) metrics_.response_counts(c.name);
   upstream_.set_timeouts(settings->connect_timeout, config_.keep_alive);
   discovery_.set_drain_grace(settings->drain_grace);
@@ -299,28 +308,27 @@
 
 void Node::drain(std::function<void()> done) {
   on_drained_ = std::move(done);
-  // A class that was dropped may have had a longer deadline: whoever ends this process does not
-  // wait for that.
-  Duration longest{};
-  for (const auto& c : config_.settings.settings.classes) longest = std::max(longest, c.deadline);
-  http_server_.drain(longest);
+  // Retired classes with longer deadlines don't count: SIGKILL does not wait for them.
+  Duration longest_deadline{};
+  for (const auto& c : config_.settings.settings.classes)
+    longest_deadline = std::max(longest_deadline, c.deadline);
+  http_server_.drain(longest_deadline);
   if (coordination_ && !handed_over_) {
     coordination_->step_down();
     step_down_deadline_ = timers_.now() + limits::kStepDownTimeout;
   }
   if (gossip_ && !handed_over_) gossip_->leave();
-  timers_.at(http_server_.drain_deadline(), [this] { abandon_unanswered(); });
+  timers_.at(http_server_.drain_deadline(), [this] { fail_open_requests(); });
   wait_until_drained();
 }
 
-// What SIGKILL finds unanswered is lost, however long its client would wait: it has its final
-// answer now, and an attempt that is still out is waited for no more. An answer that is on its way
-// goes on.
-void Node::abandon_unanswered() {
-  abandoned_unanswered_ = true;
+// A request without a response at SIGKILL would be lost, so each one gets a final response now,
+// whatever its deadline, and attempts in flight are not waited for. Streams continue.
+void Node::fail_open_requests() {
+  failed_open_requests_ = true;
   std::vector<RequestId> unanswered;
-  for (const auto& [id, o] : open_requests_)
-    if (o.response_sink && !o.state.streams_response()) unanswered.push_back(id);
+  for (const auto& [id, open] : open_requests_)
+    if (open.response_sink && !open.state.streams_response()) unanswered.push_back(id);
   for (const auto id : unanswered) {
     respond(id, &Metrics::ResponseCounts::error,
             {http::status::gateway_timeout, "this process ends\n", "text/plain", {}});
@@ -329,23 +337,25 @@
 }
 
 void Node::wait_until_drained() {
-  const bool given_on = !coordination_ || handed_over_ || coordination_->has_stepped_down() ||
-                        timers_.now() >= step_down_deadline_;
-  const bool answered = open_requests_.empty() || (abandoned_unanswered_ && concurrent_ == 0);
-  if (answered && http_server_.drained() && given_on) return on_drained_();
+  const bool stepped_down = !coordination_ || handed_over_ || coordination_->has_stepped_down() ||
+                            timers_.now() >= step_down_deadline_;
+  const bool answered = open_requests_.empty() ||
+                        (failed_open_requests_ && unanswered_requests_ == 0);
+  if (answered && http_server_.drained() && stepped_down) return on_drained_();
   timers_.after(limits::kAcceptRetryDelay, [this] { wait_until_drained(); });
 }
 
-// Once ready, always ready: a counter that has moved is tried while requests come in.
+// Stays true once it was true: after a move of the counter its new address is tried while requests
+// are served.
 bool Node::is_ready() {
-  was_ready_ = was_ready_ || (knows_servers_ && (!counter_ || counter_->has_tried_all()));
+  was_ready_ = was_ready_ || (has_ready_servers_ && (!counter_ || counter_->has_tried_all()));
   return was_ready_;
 }
 
-// ---- What happens -------------------------------------------------------------------------------
+// ---- Events -------------------------------------------------------------------------------------
 
-// Told one by one, in order: what an action brings about at once waits until the actions before it
-// are done.
+// Passes events to the gateway one at a time: an event that an action causes is queued until the
+// actions before it are done.
 void Node::handle_event(Event event) {
   pending_events_.push_back(std::move(event));
   if (std::exchange(handling_events_, true)) return;
@@ -356,7 +366,7 @@
       for (const auto& action : gateway_.handle(timers_.now(), next))
         std::visit([this](const auto& a) { execute(a); }, action);
     } catch (const std::exception& x) {
-      log::warning("node", "an event failed", {{"why", x.what()}});
+      log::warning("node", "event handling failed", {{"why", x.what()}});
     }
   }
   handling_events_ = false;
@@ -375,13 +385,13 @@
     log::request("node", "taken",
                  {{"request", request.request_id}, {"class", request.request_class().name}});
   const auto& cls = request.request_class();
-  const policy::RequestPolicy terms{cls.idempotency, cls.deduplication_window, request.deadline,
-                                    request.settings->max_attempts};
+  const policy::RequestPolicy request_policy{cls.idempotency, cls.deduplication_window,
+                                             request.deadline, request.settings->max_attempts};
   open_requests_.emplace(
       id, OpenRequest{std::move(sink), std::make_shared<const ClientRequest>(std::move(request)),
-                      &counts, policy::RequestState(terms)});
-  ++concurrent_;
-  watch_overdue();
+                      &counts, policy::RequestState(request_policy)});
+  ++unanswered_requests_;
+  schedule_overdue_check();
   handle_event(arrival);
   return static_cast<std::uint64_t>(id);
 }
@@ -392,18 +402,18 @@
   if (it == open_requests_.end() || !it->second.response_sink) return;
   it->second.response_sink.reset();
   it->second.state.on_client_disconnected();
-  --concurrent_;
+  --unanswered_requests_;
   ++it->second.response_counts->error;
   handle_event(ClientDisconnected{id});
-  // What is left of a long answer is for nobody.
-  const auto& life = it->second.state;
-  if (life.streams_response() && life.outstanding_attempts() > 0)
-    return upstream_.cancel(id, life.attempts() - 1);
-  forget_if_done(id);
+  // The rest of a streamed response has no reader.
+  const auto& state = it->second.state;
+  if (state.streams_response() && state.outstanding_attempts() > 0)
+    return upstream_.cancel(id, state.attempts() - 1);
+  erase_if_finished(id);
 }
 
-// A client is looked at when the bytes are about to be written: its request may have waited for
-// units, a place or a connection, and the loop may not have come round to its close.
+// Checks the client's socket just before the request is written: the request may have waited for
+// units, a slot or a connection, and the event loop may not have seen the close yet.
 bool Node::is_still_wanted(RequestId request) {
   const auto it = open_requests_.find(request);
   if (it == open_requests_.end() || !it->second.response_sink ||
@@ -415,61 +425,61 @@
 }
 
 void Node::on_attempt_ended(const UpstreamExchange& exchange, AttemptOutcome outcome,
-                            Response answer) {
-  AttemptEnded e;
-  e.request = exchange.request;
-  e.attempt = exchange.attempt;
-  e.endpoint = exchange.endpoint;
-  e.outcome = outcome;
+                            Response response) {
+  AttemptEnded event;
+  event.request = exchange.request;
+  event.attempt = exchange.attempt;
+  event.endpoint = exchange.endpoint;
+  event.outcome = outcome;
   const bool streamed = exchange.response_started != Time{};
-  e.connect_duration = exchange.connect_duration;
-  e.duration = (streamed ? exchange.response_started : timers_.now()) - exchange.started;
+  event.connect_duration = exchange.connect_duration;
+  event.duration = (streamed ? exchange.response_started : timers_.now()) - exchange.started;
   if (streamed && outcome != AttemptOutcome::ok && exchange.response_complete)
     on_invariant_violation(policy::InvariantViolation::complete_response_aborted,
                            exchange.request_message->request_id);
   if (streamed)
     end_stream(exchange.request, outcome == AttemptOutcome::ok);
   else if (outcome == AttemptOutcome::ok)
-    respond(exchange.request, &Metrics::ResponseCounts::success, answer);
+    respond(exchange.request, &Metrics::ResponseCounts::success, response);
   const auto it = open_requests_.find(exchange.request);
-  const auto& upload = exchange.request_message->body_stream;
-  e.body_consumed = upload && upload->consumed();
-  e.request_completed = it == open_requests_.end() || !it->second.response_sink;
+  const auto& body = exchange.request_message->body_stream;
+  event.body_consumed = body && body->consumed();
+  event.request_completed = it == open_requests_.end() || !it->second.response_sink;
   if (it != open_requests_.end()) it->second.state.on_attempt_ended(outcome);
-  forget_if_done(exchange.request);
-  handle_event(e);
+  erase_if_finished(exchange.request);
+  handle_event(event);
 }
 
 bool Node::on_stream_started(const UpstreamExchange& exchange, const ResponseHead& head) {
   const auto it = open_requests_.find(exchange.request);
   if (it == open_requests_.end() || !it->second.response_sink) return false;
-  if (const auto breach = it->second.state.may_respond())
-    return on_invariant_violation(*breach, it->second.request_message->request_id), false;
+  if (const auto violation = it->second.state.may_respond())
+    return on_invariant_violation(*violation, it->second.request_message->request_id), false;
   it->second.state.on_stream_started();
   it->second.response_sink->begin_stream(head);
   handle_event(TimeAdvanced{});
   return true;
 }
 
-void Node::on_stream_chunk(const UpstreamExchange& exchange, std::string_view piece,
-                           std::function<void()> taken) {
+void Node::on_stream_chunk(const UpstreamExchange& exchange, std::string_view chunk,
+                           std::function<void()> on_written) {
   const auto it = open_requests_.find(exchange.request);
   if (it != open_requests_.end() && it->second.response_sink)
-    it->second.response_sink->write_chunk(piece, std::move(taken));
+    it->second.response_sink->write_chunk(chunk, std::move(on_written));
 }
 
-void Node::end_stream(RequestId request, bool whole) {
+void Node::end_stream(RequestId request, bool complete) {
   const auto it = open_requests_.find(request);
   if (it == open_requests_.end()) return;
   const auto sink = std::exchange(it->second.response_sink, nullptr);
   if (!sink) return;
   it->second.state.on_responded();
-  --concurrent_;
-  ++(whole ? it->second.response_counts->success : it->second.response_counts->error);
+  --unanswered_requests_;
+  ++(complete ? it->second.response_counts->success : it->second.response_counts->error);
   if (log::follows_requests())
-    log::request("node", whole ? "answered in pieces" : "answer cut off",
+    log::request("node", complete ? "answered in pieces" : "answer cut off",
                  {{"request", it->second.request_message->request_id}});
-  if (whole)
+  if (complete)
     sink->end_stream();
   else
     sink->abort();
@@ -482,26 +492,27 @@
       HealthCheckEnded{exchange.endpoint, outcome, timers_.now() - exchange.started, std::nullopt});
 }
 
-void Node::list_changed(EndpointListKind kind, const std::vector<Discovery::Entry>& entries) {
+void Node::on_list_changed(EndpointListKind kind, const std::vector<Discovery::Entry>& entries) {
   EndpointListUpdate update{kind, {}};
   for (const auto& e : entries) update.entries.push_back(e.info);
   if (kind != EndpointListKind::delta) upstream_.retain_endpoints(update.entries);
   for (const auto& e : entries)
     upstream_.update_endpoint(e.info.id, e.address, e.info.phase == EndpointPhase::ready,
                               e.info.started);
-  // Those that drain or are gone take no requests: with them alone nobody could be served.
-  knows_servers_ = knows_servers_ || std::ranges::any_of(entries, [](const Discovery::Entry& e) {
-                     return e.info.phase == EndpointPhase::ready;
-                   });
+  // Draining or removed servers take no requests and don't make the node ready.
+  has_ready_servers_ = has_ready_servers_ ||
+                       std::ranges::any_of(entries, [](const Discovery::Entry& e) {
+                         return e.info.phase == EndpointPhase::ready;
+                       });
   handle_event(std::move(update));
 }
 
-// ---- What operators ask -------------------------------------------------------------------------
+// ---- Admin requests -----------------------------------------------------------------------------
 
 std::string Node::metrics_text() {
   const auto servers = gateway_.endpoint_counts(timers_.now());
   return metrics_.text(
-      {concurrent_, servers.listed, servers.avoided, http_server_.size(),
+      {unanswered_requests_, servers.listed, servers.avoided, http_server_.size(),
        http_server_.accept_failures(), upstream_.stats(), log::stats(), timers_.now(),
        gossip_ && gossip_->started() ? gossip_.get() : nullptr,
        coordination_ && coordination_->cluster_state().started() ? coordination_.get() : nullptr,
@@ -514,11 +525,10 @@
   return gossip_->to_json().dump() + "\n";
 }
 
-// The number of the living may slow or quicken this node's calls. It says nothing of anybody's
-// units.
+// The number of live members may change the rate of this node's counter calls. It changes no
+// customer's units.
 void Node::on_view_changed(const fleet::View& view) {
-  // One that was never heard of may be there: it has its part until it is known to have failed or
-  // left.
+  // A member that was never heard from may be alive: it counts until it has failed or left.
   if (config_.gossip->paces) handle_event(FleetView{view.living + view.unknown});
   if (coordination_) coordination_->on_view_changed(view);
 }
@@ -527,21 +537,21 @@
   if (coordination_) coordination_->on_message(from, message);
 }
 
-bool Node::on_admin_request(const AdminServer::AdminRequest& ask,
-                            AdminServer::AdminCallback answered) {
-  return coordination_ && coordination_->on_admin_request(ask, answered);
+bool Node::on_admin_request(const AdminServer::AdminRequest& request,
+                            AdminServer::AdminCallback callback) {
+  return coordination_ && coordination_->on_admin_request(request, callback);
 }
 
-// ---- What nodes do together ---------------------------------------------------------------------
+// ---- Coordination with other edge nodes ---------------------------------------------------------
 
 void Node::send_datagram(fleet::MemberId to, fleet::Body body, std::uint32_t echo) {
   gossip_->send(to, std::move(body), echo);
 }
 
-void Node::add_to_counter(const std::string& name, double amount, Duration life,
-                          std::function<void(CounterOutcome, double total)> told) {
-  if (!counter_) return told(CounterOutcome::refused, {});
-  counter_->call(name, amount, life, std::move(told));
+void Node::add_to_counter(const std::string& name, double amount, Duration lifetime,
+                          std::function<void(CounterOutcome, double total)> callback) {
+  if (!counter_) return callback(CounterOutcome::refused, {});
+  counter_->call(name, amount, lifetime, std::move(callback));
 }
 
 bool Node::quota_calls_waiting() const { return gateway_.sizes().waiting_calls > 0; }
@@ -552,145 +562,146 @@
 
 std::uint32_t Node::best_effort_capacity() { return gateway_.best_effort_capacity(timers_.now()); }
 
-// ---- What operators decide ----------------------------------------------------------------------
+// ---- Ejection by operators ----------------------------------------------------------------------
 
-bool Node::set_operator_ejection(const std::string& server, bool out) {
-  if (!eject_endpoint(server, out)) return false;
-  hot_restart_.send_message({{out ? "leave_out" : "put_back", server}});
+bool Node::set_operator_ejection(const std::string& server, bool ejected) {
+  if (!eject_endpoint(server, ejected)) return false;
+  hot_restart_.send_message({{ejected ? "leave_out" : "put_back", server}});
   return true;
 }
 
-bool Node::eject_endpoint(const std::string& server, bool out) {
+bool Node::eject_endpoint(const std::string& server, bool ejected) {
   const auto id = discovery_.find_id(server);
   if (!id) return false;
-  log::info("node", "server " + server + (out ? " is left out by hand" : " may serve again"));
-  upstream_.set_ejected(*id, out);
-  handle_event(OperatorEjection{*id, out});
+  log::info("node", "server " + server +
+                        (ejected ? " ejected by an operator" : " readmitted by an operator"));
+  upstream_.set_ejected(*id, ejected);
+  handle_event(OperatorEjection{*id, ejected});
   return true;
 }
 
-// ---- What the module decides --------------------------------------------------------------------
+// ---- Actions of the decision module -------------------------------------------------------------
 
-void Node::execute(const Send& s) {
-  const auto it = open_requests_.find(s.request);
+void Node::execute(const Send& action) {
+  const auto it = open_requests_.find(action.request);
   if (it == open_requests_.end()) return;
-  auto& o = it->second;
+  auto& open = it->second;
   const Time now = timers_.now();
-  const auto attempt = o.state.attempts();
-  const auto breach = o.state.may_forward(now);
-  o.state.on_forwarded(now);
-  if (breach) {
-    on_invariant_violation(*breach, o.request_message->request_id);
-    AttemptEnded e;
-    e.request = s.request, e.attempt = attempt, e.endpoint = s.endpoint,
-    e.outcome = AttemptOutcome::never_sent;
-    e.request_completed = !o.response_sink;
-    o.state.on_attempt_ended(e.outcome);
-    forget_if_done(s.request);
-    return handle_event(e);
+  const auto attempt = open.state.attempts();
+  const auto violation = open.state.may_forward(now);
+  open.state.on_forwarded(now);
+  if (violation) {
+    on_invariant_violation(*violation, open.request_message->request_id);
+    AttemptEnded event;
+    event.request = action.request, event.attempt = attempt, event.endpoint = action.endpoint,
+    event.outcome = AttemptOutcome::never_sent;
+    event.request_completed = !open.response_sink;
+    open.state.on_attempt_ended(event.outcome);
+    erase_if_finished(action.request);
+    return handle_event(event);
   }
   if (attempt > 0) metrics_.on_retried();
   if (log::follows_requests())
     log::request(
         "node", attempt > 0 ? "sent again" : "sent",
-        {{"request", o.request_message->request_id}, {"attempt", std::to_string(attempt)}});
-  upstream_.send({s.request,
+        {{"request", open.request_message->request_id}, {"attempt", std::to_string(attempt)}});
+  upstream_.send({action.request,
                   attempt,
-                  s.endpoint,
+                  action.endpoint,
                   now,
-                  now + s.timeout,
-                  o.request_message,
+                  now + action.timeout,
+                  open.request_message,
                   {},
                   {},
-                  s.start_deadline});
+                  action.start_deadline});
 }
 
-void Node::execute(const Reject& s) {
-  const auto it = open_requests_.find(s.request);
+void Node::execute(const Reject& action) {
+  const auto it = open_requests_.find(action.request);
   if (it == open_requests_.end()) return;
-  metrics_.on_rejected(s.reason);
+  metrics_.on_rejected(action.reason);
   if (log::follows_requests())
     log::request("node", "refused",
                  {{"request", it->second.request_message->request_id},
-                  {"cause", std::string(name_of(s.reason))}});
-  const auto advice = it->second.request_message->settings->retry_after ? s.retry_after
-                                                                        : Duration{};
-  respond(s.request, &Metrics::ResponseCounts::overload,
-          {http::status::too_many_requests, "refused\n", "text/plain", advice});
+                  {"cause", std::string(name_of(action.reason))}});
+  const auto retry_after = it->second.request_message->settings->retry_after ? action.retry_after
+                                                                             : Duration{};
+  respond(action.request, &Metrics::ResponseCounts::overload,
+          {http::status::too_many_requests, "refused\n", "text/plain", retry_after});
 }
 
-void Node::execute(const Fail& s) {
-  respond(s.request, &Metrics::ResponseCounts::error,
+void Node::execute(const Fail& action) {
+  respond(action.request, &Metrics::ResponseCounts::error,
           {http::status::bad_gateway, "failed\n", "text/plain", {}});
 }
 
-void Node::execute(const Cancel& s) { upstream_.cancel(s.request, s.attempt); }
+void Node::execute(const Cancel& action) { upstream_.cancel(action.request, action.attempt); }
 
-void Node::execute(const AddToCounter& s) {
-  if (!counter_) return handle_event(CounterResponse{s.key, CounterOutcome::refused, 0, {}});
-  counter_->add(s.key, s.amount, s.lifetime);
+void Node::execute(const AddToCounter& action) {
+  if (!counter_) return handle_event(CounterResponse{action.key, CounterOutcome::refused, 0, {}});
+  counter_->add(action.key, action.amount, action.lifetime);
 }
 
-void Node::execute(const SetTimer& s) {
-  timers_.after(s.delay, [this, timer = s.timer] { handle_event(TimerDue{timer}); });
+void Node::execute(const SetTimer& action) {
+  timers_.after(action.delay, [this, timer = action.timer] { handle_event(TimerDue{timer}); });
 }
 
-void Node::execute(const CheckHealth& s) { upstream_.check_health(s.endpoint); }
+void Node::execute(const CheckHealth& action) { upstream_.check_health(action.endpoint); }
 
-void Node::execute(const ReleaseIdleConnections& s) { upstream_.release_idle(s.endpoint, s.keep); }
+void Node::execute(const ReleaseIdleConnections& action) {
+  upstream_.release_idle(action.endpoint, action.keep);
+}
 
-void Node::execute(const Log& s) { log::info("module", s.text); }
+void Node::execute(const Log& action) { log::info("module", action.text); }
 
-// The final answer, once: after it the session is no longer in the table.
+// Sends the final response, at most once per request: it clears the request's response sink.
 void Node::respond(RequestId request, std::uint64_t Metrics::ResponseCounts::*count,
-                   const Response& answer) {
+                   const Response& response) {
   const auto it = open_requests_.find(request);
   if (it == open_requests_.end()) return;
-  // One whose client has left may still be refused by a decision that had been made: nobody is
-  // told.
+  // The client may have disconnected before a decision that was already made arrives here.
   if (const auto sink = it->second.response_sink) {
-    if (const auto breach = it->second.state.may_respond())
-      return on_invariant_violation(*breach, it->second.request_message->request_id);
+    if (const auto violation = it->second.state.may_respond())
+      return on_invariant_violation(*violation, it->second.request_message->request_id);
     it->second.response_sink.reset();
     it->second.state.on_responded();
-    --concurrent_;
+    --unanswered_requests_;
     ++(it->second.response_counts->*count);
     if (log::follows_requests())
       log::request("node", "answered",
                    {{"request", it->second.request_message->request_id},
-                    {"status", std::to_string(static_cast<unsigned>(answer.status))}});
-    sink->send(answer);
+                    {"status", std::to_string(static_cast<unsigned>(response.status))}});
+    sink->send(response);
   }
-  forget_if_done(request);
+  erase_if_finished(request);
 }
 
-// What was about to be done would have broken a promise to a client. It is left undone, counted and
-// told.
-void Node::on_invariant_violation(policy::InvariantViolation breach,
+// Counts and logs a step that would have broken a guarantee to a client; the caller omits the step.
+void Node::on_invariant_violation(policy::InvariantViolation violation,
                                   const std::string& request_id) {
-  metrics_.on_invariant_violation(breach);
-  const auto name = policy::kInvariantViolationNames.at(static_cast<std::size_t>(breach));
+  metrics_.on_invariant_violation(violation);
+  const auto name = policy::kInvariantViolationNames.at(static_cast<std::size_t>(violation));
   log::write(log::Level::error, "rules", "a step was turned down",
              {{"breach", std::string(name)}, {"request", request_id}});
 }
 
-// Whatever kept its answer back, a request that is overdue has one: it is lost half a second after
-// its time.
-void Node::watch_overdue() {
+// Gives overdue requests a final response, whatever delayed it: a response counts as lost half a
+// second after the deadline.
+void Node::schedule_overdue_check() {
   if (overdue_timer_ || open_requests_.empty()) return;
   overdue_timer_ = timers_.after(limits::kOverdueCheckInterval, [this] {
     overdue_timer_.reset();
-    answer_overdue();
-    watch_overdue();
+    respond_to_overdue();
+    schedule_overdue_check();
   });
 }
 
-void Node::answer_overdue() {
+void Node::respond_to_overdue() {
   const Time now = timers_.now();
   std::vector<RequestId> overdue;
-  for (const auto& [id, o] : open_requests_)
-    if (o.response_sink && !o.request_message->body_stream &&
-        o.state.overdue(now, limits::kOverdueTolerance))
+  for (const auto& [id, open] : open_requests_)
+    if (open.response_sink && !open.request_message->body_stream &&
+        open.state.overdue(now, limits::kOverdueTolerance))
       overdue.push_back(id);
   for (const auto id : overdue) {
     on_invariant_violation(policy::InvariantViolation::response_overdue,
@@ -701,7 +712,7 @@
   }
 }
 
-void Node::forget_if_done(RequestId request) {
+void Node::erase_if_finished(RequestId request) {
   const auto it = open_requests_.find(request);
   if (it != open_requests_.end() && !it->second.response_sink &&
       it->second.state.outstanding_attempts() == 0)
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,5 +1,6 @@
-// The edge node: owns the Gateway, tells it what happens, and carries out what it decides, in
-// order. It owns the table of open requests, and with it that each gets exactly one final answer.
+// The edge node: owns the Gateway, passes events to it and executes its actions in order. It owns
+// the table of open requests and so guarantees that each one gets exactly one final response.
+// Everything runs on the thread of the io_context.
 #pragma once
 
 #include <cstdint>
@@ -33,11 +34,11 @@
   std::size_t descriptors = 0;
   std::uint64_t seed = 0;
   Duration keep_alive{};
-  std::string handover_path;  // the path of the socket on which a successor calls; empty: none can
+  std::string handover_path;  // socket to which a successor connects; empty: no hand-over
   nlohmann::json known_endpoints;
   reading::NamedSettings settings;
-  std::optional<GossipConfig> gossip;              // none: members are off
-  std::optional<CoordinationConfig> coordination;  // none: off; else with peers
+  std::optional<GossipConfig> gossip;              // none: membership is off
+  std::optional<CoordinationConfig> coordination;  // none: off; requires `gossip`
 };
 
 class Node : private HttpServer::Callbacks,
@@ -49,28 +50,29 @@
  public:
   Node(asio::io_context& io, NodeConfig config);
 
-  // `replaced`: another process follows the predecessor instead of this one, which has nothing to
-  // do.
+  // Requests the hand-over from a predecessor if there is one, else opens the listener. Throws if
+  // the listening address can't be used. Calls `replaced` when another process takes over from the
+  // predecessor, so that this one can end.
   void start(std::function<void()> replaced = {});
-  // Goes on with the settings of a new configuration, and with discovery and the counter where it
-  // says that they are. Throws, and changes nothing, if it has what can't change while the node
-  // runs.
+  // Applies the settings and the addresses of discovery and the counter of a new configuration.
+  // Throws, and changes nothing, if it differs in what can't change while the node runs.
   void reconfigure(const NodeConfig& config);
-  // Takes no new sessions for long and calls `done` when nothing is open any more.
+  // Stops accepting sessions after limits::kNewConnectionsAfterTerm, and calls `done` when no
+  // request is open any more, or shortly before SIGKILL.
   void drain(std::function<void()> done);
-  Tcp::endpoint listens_at() const { return http_server_.listens_at(); }
-  Tcp::endpoint control_at() const { return admin_server_.listens_at(); }
-  // A new configuration was taken, or turned down.
-  void on_reload(bool taken) { metrics_.on_reload(taken); }
+  Tcp::endpoint listen_address() const { return http_server_.listen_address(); }
+  Tcp::endpoint admin_listen_address() const { return admin_server_.listen_address(); }
+  // Counts a new configuration that was applied or refused.
+  void on_reload(bool applied) { metrics_.on_reload(applied); }
   std::size_t open_requests() const { return open_requests_.size(); }
 
  private:
   struct OpenRequest {
-    std::shared_ptr<ResponseSink>
-        response_sink;  // none: it has its final answer, or its client has gone
+    // None after the final response or once the client has disconnected.
+    std::shared_ptr<ResponseSink> response_sink;
     std::shared_ptr<const ClientRequest> request_message;
-    Metrics::ResponseCounts* response_counts = nullptr;  // the counts of its class
-    policy::RequestState state;                          // what may be done for it
+    Metrics::ResponseCounts* response_counts = nullptr;  // of its class
+    policy::RequestState state;
   };
 
   bool is_ready() override;
@@ -82,15 +84,15 @@
   bool reclaim_descriptor() override;
   bool is_still_wanted(RequestId request) override;
   void on_attempt_ended(const UpstreamExchange& exchange, AttemptOutcome outcome,
-                        Response answer) override;
+                        Response response) override;
   bool on_stream_started(const UpstreamExchange& exchange, const ResponseHead& head) override;
-  void on_stream_chunk(const UpstreamExchange& exchange, std::string_view piece,
-                       std::function<void()> taken) override;
+  void on_stream_chunk(const UpstreamExchange& exchange, std::string_view chunk,
+                       std::function<void()> on_written) override;
   void on_attempt_written(const UpstreamExchange& exchange) override;
   void on_health_check_ended(const UpstreamExchange& exchange, AttemptOutcome outcome) override;
   bool is_serving() override { return serving_ && !on_drained_ && is_ready(); }
   std::string metrics_text() override;
-  bool set_operator_ejection(const std::string& server, bool out) override;
+  bool set_operator_ejection(const std::string& server, bool ejected) override;
   int listener() override { return http_server_.listener(); }
   nlohmann::json export_state() override;
   void on_listener_received(Descriptor socket) override;
@@ -100,75 +102,75 @@
   void on_peer_lost() override;
   void on_view_changed(const fleet::View& view) override;
   void on_message(fleet::MemberId from, const fleet::Message& message) override;
-  bool on_admin_request(const AdminServer::AdminRequest& ask,
-                        AdminServer::AdminCallback answered) override;
+  bool on_admin_request(const AdminServer::AdminRequest& request,
+                        AdminServer::AdminCallback callback) override;
   void send_datagram(fleet::MemberId to, fleet::Body body, std::uint32_t echo) override;
-  void add_to_counter(const std::string& name, double amount, Duration life,
-                      std::function<void(CounterOutcome, double total)> told) override;
+  void add_to_counter(const std::string& name, double amount, Duration lifetime,
+                      std::function<void(CounterOutcome, double total)> callback) override;
   bool quota_calls_waiting() const override;
   void send_request(ClientRequest request, std::shared_ptr<ResponseSink> sink) override;
   std::uint32_t best_effort_capacity() override;
   std::shared_ptr<const Settings> current_settings() const override { return settings_; }
   std::optional<std::string> members_json() override;
-  void list_changed(EndpointListKind kind, const std::vector<Discovery::Entry>& entries);
+  void on_list_changed(EndpointListKind kind, const std::vector<Discovery::Entry>& entries);
 
   std::uint64_t accept_request(ClientRequest request, std::shared_ptr<ResponseSink> sink);
   void handle_event(Event event);
   void apply_settings();
-  void execute(const Send& s);
-  void execute(const Reject& s);
-  void execute(const Fail& s);
-  void execute(const Cancel& s);
-  void execute(const AddToCounter& s);
-  void execute(const SetTimer& s);
-  void execute(const CheckHealth& s);
-  void execute(const ReleaseIdleConnections& s);
-  void execute(const Subscribe&) {}  // the watch runs anyway
-  void execute(const Log& s);
+  void execute(const Send& action);
+  void execute(const Reject& action);
+  void execute(const Fail& action);
+  void execute(const Cancel& action);
+  void execute(const AddToCounter& action);
+  void execute(const SetTimer& action);
+  void execute(const CheckHealth& action);
+  void execute(const ReleaseIdleConnections& action);
+  void execute(const Subscribe&) {}  // the watch is always open
+  void execute(const Log& action);
   void respond(RequestId request, std::uint64_t Metrics::ResponseCounts::*count,
-               const Response& answer);
-  void end_stream(RequestId request, bool whole);
-  void forget_if_done(RequestId request);
-  void on_invariant_violation(policy::InvariantViolation breach,
+               const Response& response);
+  void end_stream(RequestId request, bool complete);
+  void erase_if_finished(RequestId request);
+  void on_invariant_violation(policy::InvariantViolation violation,
                               const std::string& request_id) override;
-  void watch_overdue();
-  void answer_overdue();
-  bool eject_endpoint(const std::string& server, bool out);
+  void schedule_overdue_check();
+  void respond_to_overdue();
+  bool eject_endpoint(const std::string& server, bool ejected);
   void request_state_when_ready();
   void serve();
   void serve_with_retry();
   void start_admin_server();
   void join_cluster(const nlohmann::json* predecessor);
   void wait_until_drained();
-  void abandon_unanswered();
-  void limit_descriptors(std::size_t taken_by_clients, std::size_t taken_by_servers);
-  std::unique_ptr<CounterClient> new_counter();
+  void fail_open_requests();
+  void limit_descriptors(std::size_t used_by_clients, std::size_t used_by_servers);
+  std::unique_ptr<CounterClient> make_counter_client();
 
   asio::io_context& io_;
   NodeConfig config_;
-  struct RetiredClass {  // a class that was dropped, or had another effect, while clients may still
-                         // use it
+  // A class that a reload removed, or whose idempotency it changed, while clients may still use it.
+  struct RetiredClass {
     RequestClass request_class;
-    Time until{};
+    Time retain_deadline{};
   };
   std::vector<RetiredClass> retired_classes_;
-  Timers::Handle retired_class_timer_;  // the next of them goes
-  Timers::Handle overdue_timer_;        // open requests are looked at
+  Timers::Handle retired_class_timer_;  // expires the next retired class
+  Timers::Handle overdue_timer_;
   Clock clock_;
   Timers timers_;
   Upstream upstream_;
-  Gateway gateway_;  // asks upstream_ for its links
+  Gateway gateway_;  // reads connection counts from upstream_
   std::unordered_map<RequestId, OpenRequest> open_requests_;
-  std::size_t concurrent_ = 0;  // of these, those without their final answer
+  std::size_t unanswered_requests_ = 0;  // open requests without their final response
   Metrics metrics_;
-  std::uint64_t last_request_number_ = 0;  // the number of the last one
-  std::deque<Event> pending_events_;       // that have not been told yet
+  std::uint64_t last_request_number_ = 0;
+  std::deque<Event> pending_events_;  // not passed to the gateway yet
   bool handling_events_ = false;
-  bool knows_servers_ = false;
+  bool has_ready_servers_ = false;  // a list has named a price server that takes requests
   std::function<void()> on_drained_, on_replaced_;
   std::unique_ptr<CounterClient> counter_;
-  std::deque<std::unique_ptr<CounterClient>>
-      draining_counters_;  // at former addresses, until their last calls are answered
+  // At former addresses, until their last calls have ended.
+  std::deque<std::unique_ptr<CounterClient>> draining_counters_;
   bool was_ready_ = false;
   Discovery discovery_;
   HttpServer http_server_;
@@ -176,12 +178,12 @@
   HotRestart hot_restart_;
   std::unique_ptr<GossipTransport> gossip_;
   std::unique_ptr<Coordination> coordination_;
-  std::shared_ptr<const Settings> settings_;  // that requests begin under now
-  Time step_down_deadline_ = Time::max();     // at the latest, for duties to be given on
-  Descriptor inherited_;                      // the listening socket, until this process serves
-  bool serving_ = false;                      // clients' connections are accepted here
+  std::shared_ptr<const Settings> settings_;  // for new requests; set with coordination only
+  Time step_down_deadline_ = Time::max();     // for leader leases to be transferred
+  Descriptor inherited_listener_;             // from the predecessor, until this process serves
+  bool serving_ = false;                      // this process accepts client connections
   bool handed_over_ = false;                  // a successor accepts them
-  bool abandoned_unanswered_ = false;         // the end can't wait for answers any more
+  bool failed_open_requests_ = false;         // at the drain deadline
 };
 
 }  // namespace petrelrail
--- a/src/node/request_body_stream.hpp
+++ b/src/node/request_body_stream.hpp
@@ -1,6 +1,6 @@
-// A long body on its way from a client to a price server. The client's session puts pieces in, the
-// server's connection takes them out, and neither runs ahead of the other by more than a few
-// pieces.
+// A request body that is streamed from a client to a price server. The client's session appends
+// chunks, the server connection drains them; the buffer is bounded to a few chunks. Both run on the
+// thread of the io_context.
 #pragma once
 
 #include <cstdint>
@@ -18,33 +18,34 @@
  public:
   explicit RequestBodyStream(std::optional<std::uint64_t> length) : length_(length) {}
 
-  // For the session. `room` is told when more may come.
-  void append(std::string_view piece) { buffered_.append(piece), notify(on_data_); }
+  // Used by the session. The capacity callback is called when more may be appended.
+  void append(std::string_view chunk) { buffered_.append(chunk), notify(on_data_); }
   void finish() { complete_ = true, notify(on_data_); }
   void abort() { aborted_ = true, notify(on_data_); }
   bool is_full() const { return buffered_.size() >= limits::kStreamChunkBytes; }
-  void set_capacity_callback(std::function<void()> room) { on_capacity_ = std::move(room); }
+  void set_capacity_callback(std::function<void()> callback) { on_capacity_ = std::move(callback); }
 
-  // For the connection. `more` is told of each piece, of the end, and if there will be none.
-  std::string take_chunk() {
+  // Used by the connection. The data callback is called for each chunk, the end, and an abort.
+  std::string drain_chunk() {
     consumed_ = true;
-    auto piece = std::exchange(buffered_, {});
-    if (!piece.empty()) notify(on_capacity_);
-    return piece;
+    auto chunk = std::exchange(buffered_, {});
+    if (!chunk.empty()) notify(on_capacity_);
+    return chunk;
   }
-  void set_data_callback(std::function<void()> more) { on_data_ = std::move(more); }
+  void set_data_callback(std::function<void()> callback) { on_data_ = std::move(callback); }
   std::optional<std::uint64_t> length() const { return length_; }
   bool complete() const { return complete_; }
   bool aborted() const { return aborted_; }
-  // Some has been taken: the body can't be sent a second time.
+  // A part was drained, so the body can't be sent a second time.
   bool consumed() const { return consumed_; }
 
  private:
-  static void notify(const std::function<void()>& whom) {
-    if (const auto known = whom) known();
+  // Copied, because the callback may replace itself.
+  static void notify(const std::function<void()>& callback) {
+    if (const auto copy = callback) copy();
   }
 
-  std::optional<std::uint64_t> length_;  // none: not known before its end
+  std::optional<std::uint64_t> length_;  // none: unknown
   std::string buffered_;
   std::function<void()> on_capacity_, on_data_;
   bool complete_ = false, aborted_ = false, consumed_ = false;
--- a/src/node/request_reader.cpp
+++ b/src/node/request_reader.cpp
@@ -13,16 +13,16 @@
 
 using std::string_view;
 
-[[noreturn]] void fail(const std::string& what) {
-  throw RequestError(http::status::bad_request, what);
+[[noreturn]] void fail(const std::string& message) {
+  throw RequestError(http::status::bad_request, message);
 }
 
 template <class Number>
-Number number_of(string_view text, const char* what, int base = 10) {
+Number number_of(string_view text, const char* name, int base = 10) {
   Number n{};
   const auto [end, failed] = std::from_chars(text.data(), text.data() + text.size(), n, base);
   if (failed != std::errc{} || end != text.data() + text.size())
-    fail(std::string(what) + " is not a number");
+    fail(std::string(name) + " is not a number");
   return n;
 }
 
@@ -32,7 +32,7 @@
   return s;
 }
 
-// The value under a key in a list of key=value pairs.
+// The value of the first pair with this key in a list of key=value pairs.
 std::optional<string_view> value_of_key(string_view list, char separator, string_view key) {
   while (!list.empty()) {
     const auto part = trimmed(list.substr(0, list.find(separator)));
@@ -44,8 +44,9 @@
   return std::nullopt;
 }
 
-string_view header_value(const ParsedRequest& f, string_view name) {
-  const auto [first, last] = f.equal_range({name.data(), name.size()});
+// The value of a header field that must be there exactly once and not be empty.
+string_view header_value(const ParsedRequest& message, string_view name) {
+  const auto [first, last] = message.equal_range({name.data(), name.size()});
   if (first == last) fail(std::string(name) + " is missing");
   if (std::next(first) != last) fail(std::string(name) + " stands there twice");
   const auto v = first->value();
@@ -54,22 +55,24 @@
 }
 
 template <class Named>
-std::uint32_t index_of(const std::vector<Named>& all, string_view name, const char* what) {
+std::uint32_t index_of(const std::vector<Named>& all, string_view name, const char* description) {
   const auto it = std::ranges::find(all, name, &Named::name);
-  if (it == all.end()) fail(std::string(what) + " is unknown");
+  if (it == all.end()) fail(std::string(description) + " is unknown");
   return static_cast<std::uint32_t>(it - all.begin());
 }
 
-CustomerId customer_of(const ParsedRequest& f) {
-  const auto value = value_of_key(header_value(f, "Cookie"), ';', "client");
+CustomerId customer_of(const ParsedRequest& message) {
+  const auto value = value_of_key(header_value(message, "Cookie"), ';', "client");
   if (!value || value->size() != limits::kCustomerIdHexDigits) fail("the cookie names no client");
   const auto n = number_of<std::uint64_t>(*value, "the cookie's client", 16);
   if (n >= limits::kCustomerIdEnd) fail("the cookie's client is out of range");
   return CustomerId(n);
 }
 
-void read_quota(const ParsedRequest& f, const Settings& s, RequestArrived& a) {
-  const auto list = header_value(f, "X-Quota");
+// X-Quota: the units, and the number and the first index of the gateways among which the customer's
+// requests are spread.
+void read_quota(const ParsedRequest& message, const Settings& s, RequestArrived& a) {
+  const auto list = header_value(message, "X-Quota");
   const auto part = [&](const char* key) {
     const auto value = value_of_key(list, ',', key);
     if (!value) fail(std::string("X-Quota has no ") + key);
@@ -95,11 +98,11 @@
   return target.substr(0, target.find_first_of("/?"));
 }
 
-// Whether a request of the class comes in this form: its method, and whether it has a key.
-bool matches_form(const RequestClass& c, http::verb method, bool keyed) {
+// Whether the method, and whether there is an idempotency key, agree with the class's idempotency.
+bool matches_idempotency(const RequestClass& c, http::verb method, bool has_key) {
   return method ==
              (c.idempotency == Idempotency::idempotent ? http::verb::get : http::verb::post) &&
-         keyed == (c.idempotency == Idempotency::idempotency_key);
+         has_key == (c.idempotency == Idempotency::idempotency_key);
 }
 
 }  // namespace
@@ -116,20 +119,20 @@
   auto& a = r.arrival;
   auto cls = index_of(s.classes, header_value(message, "X-Priority-Class"), "the class");
   if (s.classes[cls].name != path_class) fail("the path and X-Priority-Class differ");
-  // After a reload a class may stand there twice, with its effect of now and of before: the form
-  // tells which is meant.
-  const bool keyed = message.count("Idempotency-Key") > 0;
-  const auto meant = std::ranges::find_if(s.classes, [&](const RequestClass& c) {
-    return c.name == path_class && matches_form(c, message.method(), keyed);
+  // After a reload a class may be listed twice, with its current and its former idempotency; the
+  // request's method and key select between them.
+  const bool has_key = message.count("Idempotency-Key") > 0;
+  const auto match = std::ranges::find_if(s.classes, [&](const RequestClass& c) {
+    return c.name == path_class && matches_idempotency(c, message.method(), has_key);
   });
-  if (meant != s.classes.end()) cls = static_cast<std::uint32_t>(meant - s.classes.begin());
+  if (match != s.classes.end()) cls = static_cast<std::uint32_t>(match - s.classes.begin());
   a.request_class = ClassIndex(cls);
   a.plan = PlanIndex(index_of(s.plans, header_value(message, "X-Plan"), "the plan"));
   a.customer = customer_of(message);
   const auto timeout = number_of<std::uint64_t>(header_value(message, "X-Timeout-Ms"),
                                                 "X-Timeout-Ms");
   if (timeout == 0 || timeout > limits::kMaxTimeoutMs) fail("X-Timeout-Ms is out of range");
-  // The time of a request counts from its last byte, however slowly it came.
+  // The timeout counts from the request's last byte, however slowly it arrived.
   a.time_left = std::chrono::milliseconds(timeout);
   r.deadline = now + a.time_left;
   read_quota(message, s, a);
@@ -139,14 +142,15 @@
   }
   r.request_id = header_value(message, "X-Request-ID");
   if (r.request_id.size() > limits::kMaxIdBytes) fail("X-Request-ID is too long");
-  const auto effect = s.classes[cls].idempotency;
-  if (message.method() != (effect == Idempotency::idempotent ? http::verb::get : http::verb::post))
+  const auto idempotency = s.classes[cls].idempotency;
+  if (message.method() !=
+      (idempotency == Idempotency::idempotent ? http::verb::get : http::verb::post))
     throw RequestError(http::status::method_not_allowed, "the method does not go with the class");
-  if (keyed != (effect == Idempotency::idempotency_key))
+  if (has_key != (idempotency == Idempotency::idempotency_key))
     fail("Idempotency-Key does not go with the class");
-  if (keyed) r.idempotency_key = header_value(message, "Idempotency-Key");
+  if (has_key) r.idempotency_key = header_value(message, "Idempotency-Key");
   if (r.idempotency_key.size() > limits::kMaxIdBytes) fail("Idempotency-Key is too long");
-  if (effect == Idempotency::idempotent && !message.body().empty())
+  if (idempotency == Idempotency::idempotent && !message.body().empty())
     fail("a body does not go with the class");
   r.method = message.method();
   r.target = target;
--- a/src/node/request_reader.hpp
+++ b/src/node/request_reader.hpp
@@ -1,4 +1,5 @@
-// Reads a request's method, target and header fields. PROTOCOL, "Clients".
+// Reads a request's method, target and header fields as PROTOCOL, "Clients", defines them. Called
+// by HttpSession; framing and parsing of the message are done before.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -14,14 +15,14 @@
 
 using ParsedRequest = http::request<ChunkBody>;
 
-// What is wrong with a request, and the status it is answered with.
+// A request that is refused, and the status of the response.
 struct RequestError : std::runtime_error {
   RequestError(http::status answer_status, const std::string& message)
       : std::runtime_error(message), status(answer_status) {}
   http::status status;
 };
 
-// Takes the request's body and fields. Throws RequestError, naming the field.
+// Moves the body out of `message`. Throws RequestError, whose text names the field.
 ClientRequest read_request(ParsedRequest& message, std::shared_ptr<const Settings> settings,
                            Time now);
 
--- a/src/node/response_sink.hpp
+++ b/src/node/response_sink.hpp
@@ -1,5 +1,5 @@
-// Who waits for the final answer of a request: a client's session, or a part of the node that asks
-// in a client's name.
+// Interface of the receiver of a request's final response: a client's session, or a part of the
+// node that makes requests on a customer's behalf. Node calls it.
 #pragma once
 
 #include <boost/beast/http/status.hpp>
@@ -19,22 +19,23 @@
   Duration retry_after{};
 };
 
-// An answer that passes on in pieces.
+// Of a streamed response.
 struct ResponseHead {
   std::string content_type;
-  std::optional<std::uint64_t> length;  // none: not known before its end
+  std::optional<std::uint64_t> length;  // none: unknown
 };
 
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
-  // Whether somebody still waits, asked in the moment in which an attempt would be written.
+  // Whether the response is still wanted; checked just before an attempt is written.
   virtual bool client_is_connected() = 0;
-  // Just one of these: a whole answer, or one in pieces. The next piece may come when the last one
-  // has been taken; an answer that is cut off leaves the asker able to tell.
-  virtual void send(const Response& answer) = 0;
+  // Exactly one response per request: either send(), or begin_stream(), any number of chunks, and
+  // end_stream() or abort(). The next chunk may follow once `on_written` was called. After abort()
+  // the receiver can tell that the response is truncated.
+  virtual void send(const Response& response) = 0;
   virtual void begin_stream(const ResponseHead& head) = 0;
-  virtual void write_chunk(std::string_view piece, std::function<void()> taken) = 0;
+  virtual void write_chunk(std::string_view chunk, std::function<void()> on_written) = 0;
   virtual void end_stream() = 0;
   virtual void abort() = 0;
 };
--- a/src/node/response_writer.cpp
+++ b/src/node/response_writer.cpp
@@ -9,9 +9,9 @@
 
 std::string response_head(http::status status, const std::string& content_type,
                           std::optional<std::uint64_t> length, bool chunked, bool keep_alive,
-                          std::size_t body) {
+                          std::size_t reserved_body_bytes) {
   std::string head;
-  head.reserve(limits::kTypicalHeaderBytes + body);  // at once
+  head.reserve(limits::kTypicalHeaderBytes + reserved_body_bytes);  // a single allocation
   head.append("HTTP/1.1 ").append(std::to_string(static_cast<unsigned>(status))).append(" ");
   const auto reason = http::obsolete_reason(status);
   head.append(reason.data(), reason.size()).append("\r\n");
--- a/src/node/upstream_connection.cpp
+++ b/src/node/upstream_connection.cpp
@@ -193,7 +193,7 @@
   if (upload.aborted())
     return close(AttemptOutcome::cancelled, AttemptEndReason::request_body_broken);
   const bool last = upload.complete();
-  body_chunk_ = upload.take_chunk();
+  body_chunk_ = upload.drain_chunk();
   if (!upload.length() && !body_chunk_.empty()) {
     const auto data = std::exchange(body_chunk_, {});
     append_chunk(body_chunk_, data);
--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -32,7 +32,7 @@
     return true;
   }
   int call(const std::string& text) {
-    const auto w = loop.connect(control.listens_at());
+    const auto w = loop.connect(control.listen_address());
     w->send(text);
     EXPECT_TRUE(loop.until([&] { return w->ended; })) << text;
     answer = w->in;
@@ -105,7 +105,7 @@
   EXPECT_FALSE(last->parameter("y"));
   waiting({500, "once more", {}, {}});  // its caller has its answer
   last.reset();
-  const auto w = loop.connect(control.listens_at());
+  const auto w = loop.connect(control.listen_address());
   w->send("GET /late HTTP/1.1\r\nHost: x\r\n\r\n");
   ASSERT_TRUE(loop.until([&] { return last.has_value(); }));
   EXPECT_TRUE(w->in.empty());
@@ -116,12 +116,12 @@
 }
 // Those that wait for their answer go last when others come.
 TEST_F(ControlTest, ACallerThatWaitsForItsAnswerIsNotPushedOutByOnesThatStall) {
-  const auto w = loop.connect(control.listens_at());
+  const auto w = loop.connect(control.listen_address());
   w->send("GET /late HTTP/1.1\r\nHost: x\r\n\r\n");
   ASSERT_TRUE(loop.until([&] { return last.has_value(); }));
   std::vector<std::shared_ptr<Wire>> stalled;
   for (std::size_t i = 0; i < 2 * limits::kMaxAdminConnections; ++i) {
-    stalled.push_back(loop.connect(control.listens_at()));
+    stalled.push_back(loop.connect(control.listen_address()));
     stalled.back()->send("GET /rea");
   }
   EXPECT_EQ(call("GET", "/ready"), 200);
@@ -134,7 +134,7 @@
 TEST_F(ControlTest, CallersThatStallHoldUpNobody) {
   std::vector<std::shared_ptr<Wire>> stalled;
   for (std::size_t i = 0; i < 3 * limits::kMaxAdminConnections; ++i) {
-    stalled.push_back(loop.connect(control.listens_at()));
+    stalled.push_back(loop.connect(control.listen_address()));
     stalled.back()->send("GET /rea");
   }
   const auto begun = std::chrono::steady_clock::now();
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -61,7 +61,7 @@
       return status(probe) == 200;
     }));
   }
-  std::shared_ptr<Wire> client() { return loop.connect(node->listens_at()); }
+  std::shared_ptr<Wire> client() { return loop.connect(node->listen_address()); }
   // The status of the next answer; its text is kept.
   int status(const std::shared_ptr<Wire>& w) {
     answer.clear();
@@ -76,7 +76,7 @@
   int status(const Ask& a) { return status(a.text()); }
   // What an operator's call is answered, whole.
   std::string call(const std::string& method, const std::string& target) {
-    const auto w = loop.connect(node->control_at());
+    const auto w = loop.connect(node->admin_listen_address());
     w->send(method + " " + target + " HTTP/1.1\r\nHost: x\r\n\r\n");
     EXPECT_TRUE(loop.until([&] { return w->ended; }));
     return w->in;
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -567,7 +567,7 @@
       sockaddr_in at{};
       size = sizeof at;
       ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
-      if (ntohs(at.sin_port) == node->listens_at().port()) return void(::shutdown(fd, SHUT_RD));
+      if (ntohs(at.sin_port) == node->listen_address().port()) return void(::shutdown(fd, SHUT_RD));
     }
     FAIL() << "the node does not listen";
   }
