--- a/bench/drill.cpp
+++ b/bench/drill.cpp
@@ -32,7 +32,7 @@
        {"cut", AttemptOutcome::reset},
        {"undone", AttemptOutcome::cancelled},
        {"stale_send", AttemptOutcome::never_sent}}};
-  return named(o, "disposition", words);
+  return enum_value(o, "disposition", words);
 }
 
 // ---- Instances ----------------------------------------------------------------------------------
@@ -44,7 +44,8 @@
 
 Instance open_instance(const json& e) {
   auto [settings, names] = read_settings(object_of(field(e, "facts"), "facts"));
-  return {Gateway(std::move(settings), natural_of(field(e, "salt"), "salt")), std::move(names)};
+  return {Gateway(std::move(settings), unsigned_integer_of(field(e, "salt"), "salt")),
+          std::move(names)};
 }
 
 // ---- Events -------------------------------------------------------------------------------------
@@ -141,8 +142,8 @@
        {"no_route", CounterOutcome::refused},
        {"too_slow", CounterOutcome::timeout}}};
   CounterResponse a;
-  a.key = CounterKey(natural_of(field(e, "tally-id"), "tally-id"));
-  a.outcome = named(e, "disposition", words);
+  a.key = CounterKey(unsigned_integer_of(field(e, "tally-id"), "tally-id"));
+  a.outcome = enum_value(e, "disposition", words);
   a.total = a.outcome == CounterOutcome::ok ? number(e, "level") : 0;
   a.duration = duration(e, "rtt-ns");
   return a;
@@ -164,7 +165,8 @@
                               const std::map<std::int64_t, Page>& pages) {
   if (kind == "ask") return arrival(e, in);
   if (kind == "finished") return attempt_ended(e);
-  if (kind == "tick-due") return TimerDue{TimerId(natural_of(field(e, "cookie"), "cookie"))};
+  if (kind == "tick-due")
+    return TimerDue{TimerId(unsigned_integer_of(field(e, "cookie"), "cookie"))};
   if (kind == "ledger-reply") return count_answer(e);
   if (kind == "gone") return ClientDisconnected{RequestId(hex(e, "ticket"))};
   if (kind == "membership") return membership(e, in, pages);
--- a/src/node/admin_server.hpp
+++ b/src/node/admin_server.hpp
@@ -1,5 +1,6 @@
-// Where operators call: a listener of its own, one call to a connection. Callers are bounded in
-// number and in time, so that those that stall hold up nobody.
+// The operators' HTTP server: a listener of its own, one request per connection. The number of
+// connections and their times are bounded, so that a stalled client delays no other. Owned by Node,
+// which answers through Callbacks, on the thread of the io_context.
 #pragma once
 
 #include <boost/asio/basic_socket_acceptor.hpp>
@@ -16,31 +17,30 @@
 
 class AdminServer {
  public:
-  // A call for a part of the node that has paths of its own, and what it answers.
+  // For paths that other parts of the node handle.
   struct AdminRequest {
     std::string method, path, query, body;
-    // The one value under a name in the query; none if it is missing, empty, malformed or there
-    // twice.
+    // The value of a query parameter; none if it is missing, empty, malformed or repeated.
     std::optional<std::string> parameter(std::string_view name) const;
   };
   struct AdminResponse {
     unsigned status = 0;
     std::string body;
     std::string type = "text/plain; charset=utf-8";
-    std::string allow{};     // with 405: the methods that go with the path
-    std::string location{};  // with 307: where to call instead
+    std::string allow{};     // with 405: the allowed methods
+    std::string location{};  // with 307: the address to use instead
   };
   using AdminCallback = std::function<void(AdminResponse)>;
 
   struct Callbacks {
     virtual bool is_serving() = 0;
     virtual std::string metrics_text() = 0;
-    // The other edge nodes, as JSON; none: members are off.
+    // The other edge nodes as JSON; none if membership is off.
     virtual std::optional<std::string> members_json() = 0;
-    // Leaves a price server out, or lets it serve again; false: no list has ever named it.
-    virtual bool set_operator_ejection(const std::string& server, bool out) = 0;
-    // Other paths; false: there is no such path. Answered once, at once or within
-    // limits::kAdminResponseTimeout.
+    // Ejects a price server or readmits it; false if no list has ever named it.
+    virtual bool set_operator_ejection(const std::string& server, bool ejected) = 0;
+    // Handles other paths; false if there is no such path. Calls `callback` once, during the call
+    // or within limits::kAdminResponseTimeout.
     virtual bool on_admin_request(const AdminRequest& request, AdminCallback callback) = 0;
 
    protected:
@@ -54,22 +54,22 @@
 
   void listen(const Tcp::endpoint& at);
   Tcp::endpoint listen_address() const { return acceptor_.local_endpoint(); }
-  // Calls that were answered 4xx.
+  // Requests that were answered 4xx, by status.
   const StatusCounts& rejected_requests() const { return rejected_requests_; }
 
  private:
-  class Call;
-  using Calls = std::list<std::shared_ptr<Call>>;  // the oldest in front
+  class Connection;
+  using Connections = std::list<std::shared_ptr<Connection>>;  // the oldest in front
 
   void accept();
   void evict_oldest();
-  void forget(const std::shared_ptr<Call>& call);
+  void remove_connection(const std::shared_ptr<Connection>& connection);
 
   Timers& timers_;
   Callbacks& callbacks_;
   asio::basic_socket_acceptor<Tcp, Executor> acceptor_;
   Timers::Handle accept_timer_;
-  Calls calls_;
+  Connections connections_;
   StatusCounts rejected_requests_;
 };
 
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -136,7 +136,7 @@
     object_of(e, "members");
     Entry n;
     const auto& id = text(e, "id");
-    n.info.phase = named(e, "phase", phases);
+    n.info.phase = enum_value(e, "phase", phases);
     const auto address = endpoint_of(text(e, "host_port"));
     if (!address) fail_field("host_port", "an address and a port");
     n.address = *address;
@@ -164,7 +164,7 @@
 bool Discovery::apply_list(const json& list, bool cached) {
   try {
     object_of(list, "list");
-    const auto revision = natural_of(field(list, "revision"), "revision");
+    const auto revision = unsigned_integer_of(field(list, "revision"), "revision");
     const bool complete = boolean(list, "complete");
     const auto& members = list_of(field(list, "members"), "members");
     std::vector<Entry> entries;
--- a/src/node/hot_restart.cpp
+++ b/src/node/hot_restart.cpp
@@ -30,22 +30,22 @@
 namespace {
 
 std::int64_t nanos_of(Time t) { return t.time_since_epoch().count(); }
-Time time_of(const json& j) { return Time(Duration(j.get<std::int64_t>())); }
+Time time_from_json(const json& j) { return Time(Duration(j.get<std::int64_t>())); }
 
 json to_json(const HandoverState::WindowUnits& u) {
   return json::array({u.window, u.held, u.counted, u.correction, nanos_of(u.last_response_time),
                       u.admitted_before_lease, u.exhausted});
 }
-HandoverState::WindowUnits units_of(const json& j) {
+HandoverState::WindowUnits window_units_from_json(const json& j) {
   HandoverState::WindowUnits u;
   auto it = j.begin();
   const auto next = [&]() -> const json& {
-    if (it == j.end()) throw std::runtime_error("units are cut short");
+    if (it == j.end()) throw std::runtime_error("window units are truncated");
     return *it++;
   };
   u.window = next().get<std::int64_t>();
   u.held = next(), u.counted = next(), u.correction = next();
-  u.last_response_time = time_of(next());
+  u.last_response_time = time_from_json(next());
   u.admitted_before_lease = next(), u.exhausted = next();
   return u;
 }
@@ -55,13 +55,13 @@
 json to_json(const HandoverState& s) {
   json leases = json::array();
   for (const auto& l : s.leases) {
-    json ahead = json::array(), places = json::array();
-    for (const auto& u : l.prefetched) ahead.push_back(to_json(u));
-    for (const auto t : l.slot_release_times) places.push_back(nanos_of(t));
+    json prefetched = json::array(), slots = json::array();
+    for (const auto& u : l.prefetched) prefetched.push_back(to_json(u));
+    for (const auto t : l.slot_release_times) slots.push_back(nanos_of(t));
     leases.push_back({{"customer", l.customer},
                       {"plan", l.plan},
                       {"now", to_json(l.current)},
-                      {"ahead", std::move(ahead)},
+                      {"ahead", std::move(prefetched)},
                       {"asked", l.requested_units},
                       {"pace", l.average_demand},
                       {"tries", l.recent_requests},
@@ -69,7 +69,7 @@
                       {"elsewhere", l.other_gateways_rate},
                       {"tried_at", nanos_of(l.last_request_time)},
                       {"called_at", nanos_of(l.last_call_time)},
-                      {"places", std::move(places)}});
+                      {"places", std::move(slots)}});
   }
   json plans = json::array();
   for (const auto& plan : s.plans) plans.push_back({plan.name, plan.length.count()});
@@ -92,16 +92,17 @@
     HandoverState::CustomerLease l;
     l.customer = e.at("customer");
     l.plan = e.at("plan");
-    l.current = units_of(e.at("now"));
-    for (const auto& u : e.at("ahead")) l.prefetched.push_back(units_of(u));
+    l.current = window_units_from_json(e.at("now"));
+    for (const auto& u : e.at("ahead")) l.prefetched.push_back(window_units_from_json(u));
     l.requested_units = e.at("asked"), l.average_demand = e.at("pace"),
     l.recent_requests = e.at("tries");
     l.demand_ratio = e.at("over"), l.other_gateways_rate = e.at("elsewhere");
-    l.last_request_time = time_of(e.at("tried_at")), l.last_call_time = time_of(e.at("called_at"));
-    for (const auto& t : e.at("places")) l.slot_release_times.push_back(time_of(t));
+    l.last_request_time = time_from_json(e.at("tried_at")),
+    l.last_call_time = time_from_json(e.at("called_at"));
+    for (const auto& t : e.at("places")) l.slot_release_times.push_back(time_from_json(t));
     s.leases.push_back(std::move(l));
   }
-  // A predecessor of an earlier version does not tell its plans.
+  // A predecessor of an earlier version sends no plans.
   if (const auto plans = j.find("plans"); plans != j.end())
     for (const auto& plan : *plans)
       s.plans.push_back({plan.at(0).get<std::string>(), Duration(plan.at(1).get<std::int64_t>())});
@@ -109,16 +110,16 @@
   j.at("quickest_calls").get_to(s.fastest_calls);
   s.call_rate = j.at("call_rate"), s.concurrency_limit = j.at("bound");
   s.recent_responses = j.at("answers"), s.recent_arrivals = j.at("arrivals");
-  s.export_time = time_of(j.at("at")), s.counter_reset_time = time_of(j.at("lost_at"));
+  s.export_time = time_from_json(j.at("at")),
+  s.counter_reset_time = time_from_json(j.at("lost_at"));
   return s;
 }
 
-// ---- The link: JSON lines both ways, and one descriptor -----------------------------------------
+// ---- The connection: JSON lines in both directions, and one descriptor --------------------------
 
 class HotRestart::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(HotRestart& handover, LocalSocket socket)
-      : handover_(&handover), socket_(std::move(socket)) {
+  Connection(HotRestart& owner, LocalSocket socket) : owner_(&owner), socket_(std::move(socket)) {
     error_code ignored;
     socket_.non_blocking(true, ignored);
   }
@@ -126,18 +127,18 @@
   void read() {
     socket_.async_wait(LocalSocket::wait_read,
                        [self = shared_from_this()](const error_code& failed) {
-                         if (!self->handover_) return;
-                         if (failed || !self->take()) return self->end();
-                         if (self->handover_) self->read();
+                         if (!self->owner_) return;
+                         if (failed || !self->receive()) return self->fail();
+                         if (self->owner_) self->read();
                        });
   }
 
   void send(const json& message) {
-    out_.push_back(message.dump() + "\n");
-    if (out_.size() == 1) write();
+    output_.push_back(message.dump() + "\n");
+    if (output_.size() == 1) write();
   }
-  // On a link on which nothing was sent yet: the descriptor goes with the line's first byte.
-  bool send_with(const json& message, int descriptor) {
+  // Must be the first message on the connection: the descriptor travels with the line's first byte.
+  bool send_with_descriptor(const json& message, int descriptor) {
     auto text = message.dump() + "\n";
     iovec part{text.data(), text.size()};
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> space{};
@@ -151,20 +152,21 @@
            static_cast<ssize_t>(text.size());
   }
 
-  // Small enough for any socket's buffer.
-  void dismiss() {
-    static constexpr std::string_view words = "{\"replaced\":true}\n";
-    ::send(socket_.native_handle(), words.data(), words.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-    abandon();
+  // Tells the other process that it was replaced. The message fits into any socket's send buffer.
+  void close_replaced() {
+    static constexpr std::string_view text = "{\"replaced\":true}\n";
+    ::send(socket_.native_handle(), text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    close_silently();
   }
-  void end() {
-    if (const auto handover = std::exchange(handover_, nullptr)) {
+  // Closes and reports the loss to the owner.
+  void fail() {
+    if (const auto owner = std::exchange(owner_, nullptr)) {
       close();
-      handover->on_connection_lost(this);
+      owner->on_connection_lost(this);
     }
   }
-  void abandon() {
-    handover_ = nullptr;
+  void close_silently() {
+    owner_ = nullptr;
     close();
   }
 
@@ -174,17 +176,17 @@
     socket_.close(ignored);
   }
   void write() {
-    asio::async_write(socket_, asio::buffer(out_.front()),
+    asio::async_write(socket_, asio::buffer(output_.front()),
                       [self = shared_from_this()](const error_code& failed, std::size_t) {
-                        if (!self->handover_) return;
-                        if (failed) return self->end();
-                        self->out_.pop_front();
-                        if (!self->out_.empty()) self->write();
+                        if (!self->owner_) return;
+                        if (failed) return self->fail();
+                        self->output_.pop_front();
+                        if (!self->output_.empty()) self->write();
                       });
   }
 
-  // False if the link is of no more use.
-  bool take() {
+  // Reads and dispatches messages; false if the connection must be closed.
+  bool receive() {
     std::array<char, limits::kReadBufferBytes> bytes{};
     iovec part{bytes.data(), bytes.size()};
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> space{};
@@ -197,28 +199,28 @@
       if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS) continue;
       int descriptor = -1;
       std::memcpy(&descriptor, CMSG_DATA(c), sizeof descriptor);
-      passed_ = Descriptor(descriptor);
+      received_descriptor_ = Descriptor(descriptor);
     }
     if (n == 0) return false;
-    in_.append(bytes.data(), static_cast<std::size_t>(n));
-    for (auto end = in_.find('\n'); end != std::string::npos; end = in_.find('\n')) {
-      const auto message = json::parse(in_.substr(0, end), nullptr, false);
-      in_.erase(0, end + 1);
+    input_.append(bytes.data(), static_cast<std::size_t>(n));
+    for (auto end = input_.find('\n'); end != std::string::npos; end = input_.find('\n')) {
+      const auto message = json::parse(input_.substr(0, end), nullptr, false);
+      input_.erase(0, end + 1);
       if (!message.is_object()) return false;
-      handover_->on_message(message, std::move(passed_));
-      if (!handover_) return true;
+      owner_->on_message(message, std::move(received_descriptor_));
+      if (!owner_) return true;
     }
-    return in_.size() <= limits::kMaxJsonLineBytes;
+    return input_.size() <= limits::kMaxJsonLineBytes;
   }
 
-  HotRestart* handover_;  // none: it has ended
+  HotRestart* owner_;  // null once the connection is closed
   LocalSocket socket_;
-  std::string in_;
-  Descriptor passed_;
-  std::deque<std::string> out_;  // the first one is being written
+  std::string input_;
+  Descriptor received_descriptor_;
+  std::deque<std::string> output_;  // the first one is being written
 };
 
-// ---- The two ends -------------------------------------------------------------------------------
+// ---- Serving process and successor --------------------------------------------------------------
 
 HotRestart::HotRestart(asio::io_context& io, Timers& timers, std::string path, Callbacks& owner)
     : io_(io),
@@ -227,7 +229,7 @@
       callbacks_(owner),
       acceptor_(io.get_executor()) {
   if (path_.size() >= sizeof(sockaddr_un::sun_path)) {
-    log::warning("handover", "the path is too long", {{"path", path_}});
+    log::warning("handover", "the hand-over socket's path is too long", {{"path", path_}});
     path_.clear();
   }
 }
@@ -235,9 +237,9 @@
 HotRestart::~HotRestart() {
   timers_.cancel(timeout_);
   timers_.cancel(accept_timer_);
-  // First of all: once the link has ended the other process offers itself, on the same path.
+  // Before the connection is closed: the other process then listens on the same path.
   if (acceptor_.is_open() && owns_path()) ::unlink(path_.c_str());
-  if (connection_) connection_->abandon();
+  if (connection_) connection_->close_silently();
 }
 
 bool HotRestart::connect_to_predecessor() {
@@ -246,7 +248,7 @@
   error_code failed;
   socket.open(Local(), failed);
   if (!failed) socket.non_blocking(true, failed);
-  // On this machine a connect is done or refused at once.
+  // A connect to a Unix socket succeeds or fails at once.
   if (!failed) socket.connect(Local::endpoint(path_), failed);
   if (failed) return false;
   connection_ = std::make_shared<Connection>(*this, std::move(socket));
@@ -254,7 +256,7 @@
   connection_->read();
   timeout_ = timers_.after(limits::kHandoverTimeout, [this] {
     timeout_.reset();
-    if (connection_) connection_->end();
+    if (connection_) connection_->fail();
   });
   return true;
 }
@@ -264,11 +266,11 @@
   timers_.cancel(timeout_);
   timeout_ = timers_.after(limits::kHandoverTimeout, [this] {
     timeout_.reset();
-    if (connection_) connection_->end();
+    if (connection_) connection_->fail();
   });
 }
 
-// A socket that a process left behind is of no use to anybody.
+// Replaces a socket file that an earlier process left behind.
 void HotRestart::wait_for_successor() {
   if (path_.empty()) return;
   ::unlink(path_.c_str());
@@ -277,63 +279,64 @@
   if (!failed) acceptor_.bind(Local::endpoint(path_), failed);
   if (!failed) ::chmod(path_.c_str(), S_IRUSR | S_IWUSR);
   if (!failed) acceptor_.listen(1, failed);
-  struct stat made {};
-  if (!failed && ::stat(path_.c_str(), &made) == 0) socket_file_ = {made.st_dev, made.st_ino};
+  struct stat created {};
+  if (!failed && ::stat(path_.c_str(), &created) == 0)
+    socket_file_ = {created.st_dev, created.st_ino};
   if (!failed) return accept();
-  log::warning("handover", "no successor can come", {{"why", failed.message()}});
+  log::warning("handover", "can't open the hand-over socket", {{"why", failed.message()}});
   error_code ignored;
   acceptor_.close(ignored);
 }
 
-// A process that served beside this one, since this one was silent, may have taken the path for
-// itself.
+// False if another process has replaced the socket at the path: a successor starts on its own when
+// this process does not respond.
 bool HotRestart::owns_path() const {
-  struct stat there {};
-  return ::lstat(path_.c_str(), &there) == 0 &&
-         std::pair<std::uint64_t, std::uint64_t>(there.st_dev, there.st_ino) == socket_file_;
+  struct stat current {};
+  return ::lstat(path_.c_str(), &current) == 0 &&
+         std::pair<std::uint64_t, std::uint64_t>(current.st_dev, current.st_ino) == socket_file_;
 }
 
 void HotRestart::accept() {
   acceptor_.async_accept([this](const error_code& failed, LocalSocket socket) {
     if (failed == asio::error::operation_aborted) return;
-    if (failed) {  // no descriptor, say: whoever waits is still there after a moment
+    if (failed) {  // for example no descriptor: the successor stays in the queue meanwhile
       accept_timer_ = timers_.after(limits::kAcceptRetryDelay, [this] {
         accept_timer_.reset();
         accept();
       });
       return;
     }
-    // The latest one counts: an earlier one that took nothing has no claim, and is told so.
-    if (connection_) std::exchange(connection_, nullptr)->dismiss();
+    // The latest successor wins; an earlier one that has not taken over yet is notified.
+    if (connection_) std::exchange(connection_, nullptr)->close_replaced();
     connection_ = std::make_shared<Connection>(*this, std::move(socket));
     connection_->read();
     accept();
   });
 }
 
-void HotRestart::stop_waiting() {
+void HotRestart::stop_listening() {
   timers_.cancel(accept_timer_);
   error_code ignored;
-  acceptor_.close(ignored);  // the path is the successor's to use
+  acceptor_.close(ignored);  // the successor reuses the path
 }
 
 void HotRestart::send_message(const json& message) {
   if (connection_) connection_->send(message);
 }
 
-void HotRestart::on_message(const json& message, Descriptor passed) {
-  const auto link = connection_;
+void HotRestart::on_message(const json& message, Descriptor descriptor) {
+  const auto connection = connection_;
   try {
     if (message.contains("hello") && acceptor_.is_open()) {
       if (message.at("hello") != limits::kHandoverVersion ||
-          !link->send_with({{"listener", true}}, callbacks_.listener()))
-        link->end();
+          !connection->send_with_descriptor({{"listener", true}}, callbacks_.listener()))
+        connection->fail();
     } else if (message.contains("take") && acceptor_.is_open()) {
-      stop_waiting();
-      link->send({{"state", callbacks_.export_state()}});
-    } else if (message.contains("listener") && passed) {
+      stop_listening();
+      connection->send({{"state", callbacks_.export_state()}});
+    } else if (message.contains("listener") && descriptor) {
       timers_.cancel(timeout_);
-      callbacks_.on_listener_received(std::move(passed));
+      callbacks_.on_listener_received(std::move(descriptor));
     } else if (message.contains("replaced") && !acceptor_.is_open()) {
       timers_.cancel(timeout_);
       callbacks_.on_replaced();
@@ -345,12 +348,12 @@
     }
   } catch (const std::exception& x) {
     log::warning("handover", x.what());
-    link->end();
+    connection->fail();
   }
 }
 
-void HotRestart::on_connection_lost(const Connection* link) {
-  if (connection_.get() != link) return;
+void HotRestart::on_connection_lost(const Connection* connection) {
+  if (connection_.get() != connection) return;
   timers_.cancel(timeout_);
   connection_.reset();
   callbacks_.on_peer_lost();
--- a/src/node/hot_restart.hpp
+++ b/src/node/hot_restart.hpp
@@ -1,6 +1,7 @@
-// From one process of an edge node to the next, while requests come in: a Unix socket on which the
-// process that serves waits for its successor, and a link between the two. What passes is carried
-// here; what it means is the node's business. Whatever goes wrong on the link only ends it.
+// Hot restart: hands the listening socket and the state of an edge node from one process to the
+// next while requests arrive. The serving process listens on a Unix socket for its successor. This
+// module transports messages and one descriptor; Node interprets them. An error only closes the
+// connection.
 #pragma once
 
 #include <boost/asio/basic_socket_acceptor.hpp>
@@ -15,7 +16,7 @@
 
 namespace petrelrail {
 
-// A descriptor that is closed unless it is taken.
+// Owns a file descriptor and closes it unless it is released.
 class Descriptor {
  public:
   explicit Descriptor(int number = -1) : number_(number) {}
@@ -29,21 +30,21 @@
   int number_;
 };
 
-// Server ids go by discovery's names, which both processes know.
+// Ids of price servers differ between processes; Node adds the servers by discovery's names.
 nlohmann::json to_json(const HandoverState& s);
-HandoverState handover_state_from_json(const nlohmann::json& j);  // throws if it can't be read
+HandoverState handover_state_from_json(const nlohmann::json& j);  // throws on malformed input
 
 class HotRestart {
  public:
   struct Callbacks {
-    // To the one that serves:
-    virtual int listener() = 0;                 // the clients' listening socket
-    virtual nlohmann::json export_state() = 0;  // the successor takes over with this answer
-    // To the one that follows:
+    // In the serving process:
+    virtual int listener() = 0;                 // the client listening socket
+    virtual nlohmann::json export_state() = 0;  // the successor serves once it has received this
+    // In the successor:
     virtual void on_listener_received(Descriptor socket) = 0;
     virtual void on_state_received(const nlohmann::json& state) = 0;
-    virtual void on_replaced() = 0;  // another process follows instead
-    // To both:
+    virtual void on_replaced() = 0;  // another process takes over instead
+    // In both:
     virtual void on_peer_message(const nlohmann::json& message) = 0;
     virtual void on_peer_lost() = 0;
 
@@ -56,13 +57,12 @@
   HotRestart(const HotRestart&) = delete;
   HotRestart& operator=(const HotRestart&) = delete;
 
-  // Looks for a process that serves. If there is one it is asked for its listener; false: there is
-  // none.
+  // Connects to a serving process and requests its listener; false if there is none.
   bool connect_to_predecessor();
   void request_state();
-  // From now on a successor may come.
+  // Opens the Unix socket for a successor.
   void wait_for_successor();
-  // Something else for the process at the other end, if there is one.
+  // Sends a message to the other process, if there is one; it arrives in on_peer_message().
   void send_message(const nlohmann::json& message);
   bool is_connected() const { return connection_ != nullptr; }
 
@@ -72,21 +72,21 @@
   using LocalSocket = asio::basic_stream_socket<Local, Executor>;
 
   void accept();
-  void stop_waiting();
+  void stop_listening();
   bool owns_path() const;
-  void on_message(const nlohmann::json& message, Descriptor passed);
-  void on_connection_lost(const Connection* link);
+  void on_message(const nlohmann::json& message, Descriptor descriptor);
+  void on_connection_lost(const Connection* connection);
 
   asio::io_context& io_;
   Timers& timers_;
-  std::string path_;  // empty: nothing is handed over
-  std::pair<std::uint64_t, std::uint64_t>
-      socket_file_{};  // device and number of the file that was made there
+  std::string path_;  // empty: no hand-over
+  // Device and inode number of the socket that this process created at the path.
+  std::pair<std::uint64_t, std::uint64_t> socket_file_{};
   Callbacks& callbacks_;
   asio::basic_socket_acceptor<Local, Executor> acceptor_;
   std::shared_ptr<Connection> connection_;
   Timers::Handle timeout_;
-  Timers::Handle accept_timer_;  // after an accept that failed
+  Timers::Handle accept_timer_;  // delay after a failed accept
 };
 
 }  // namespace petrelrail
--- a/src/node/http_session.hpp
+++ b/src/node/http_session.hpp
@@ -89,7 +89,8 @@
   std::function<void()> on_chunk_written_;
   State state_ = State::reading;
   Time opened_time_{}, last_received_time_{};
-  Time request_started_time_{}, reading_paused_time_{};  // paused while the body buffer is full
+  Time request_started_time_{},
+      reading_paused_time_{};                       // paused: set while the body buffer is full
   std::shared_ptr<RequestBodyStream> body_stream_;  // of a forwarded request that is still read
   std::size_t request_bytes_ = 0;                   // received since the request began
   // When the state was entered, a request's first byte was read, or bytes were last written.
--- a/src/node/job_service.cpp
+++ b/src/node/job_service.cpp
@@ -90,7 +90,8 @@
     throw FieldError("just one of 'range' and 'keys' is needed");
   if (range != nullptr) {
     object_of(*range, "range");
-    s.lines = fleet::JobRange{natural_of(field(*range, "first"), "first"), uint32(*range, "count")};
+    s.lines = fleet::JobRange{unsigned_integer_of(field(*range, "first"), "first"),
+                              uint32(*range, "count")};
   } else {
     std::vector<std::string> all;
     for (const auto& k : list_of(*keys, "keys")) all.push_back(text_of(k, "keys"));
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -1,4 +1,5 @@
-// The edge node's process: command line, configuration, signals, wiring.
+// The edge node's process: parses the command line, reads and reloads the configuration, handles
+// signals, and runs a Node on one io_context.
 #include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
@@ -17,57 +18,57 @@
 using namespace petrelrail;
 using namespace petrelrail::reading;
 
-std::string variable(const char* name) {
+std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
   if (value == nullptr || *value == '\0')
     throw FieldError(std::string("variable ") + name + " is not set");
   return value;
 }
 
-Tcp::endpoint address(const std::string& value, const char* name) {
-  const auto at = endpoint_of(value);
-  if (!at) fail_field(name, "an address and a port");
-  return *at;
+Tcp::endpoint parse_address(const std::string& value, const char* name) {
+  const auto parsed = endpoint_of(value);
+  if (!parsed) fail_field(name, "an address and a port");
+  return *parsed;
 }
 
-// What the nodes do together follows from the settings' intake, what members leave of it, and the
-// counter's terms.
-CoordinationConfig read_together(const GossipConfig& peers, const NodeConfig& node) {
+// Derives the configuration of leader leases, replicated records and jobs from the settings: the
+// datagram intake that the membership protocol leaves, and the counter's time-out.
+CoordinationConfig make_coordination_config(const GossipConfig& peers, const NodeConfig& node) {
   const auto& s = node.settings.settings;
   if (!s.counter) throw FieldError("field 'members': jobs need the counter");
-  CoordinationConfig t;
-  t.jobs = peers.jobs;
+  CoordinationConfig config;
+  config.jobs = peers.jobs;
   if (node.control) {
     std::ostringstream text;
     text << *node.control;
-    t.control = text.str();
+    config.control = text.str();
   }
-  t.shared.self = fleet::MemberId(static_cast<std::uint16_t>(peers.index));
-  t.shared.zone = peers.zone;
-  t.shared.duties.nodes = t.shared.records.nodes = s.fleet_size;
-  t.shared.duties.clocks = t.shared.duties.counter_timeout = s.counter_timeout;
-  t.shared.records.clocks = s.counter_timeout;
-  t.shared.records.term = t.shared.duties.term();
-  t.shared.records.spaces = limits::kRecordSpaces;
-  t.shared.records.sealed = peers.terms.key.has_value();
-  const double others = peers.terms.in_per_s * limits::kCoordinationIntakeShare;
-  t.shared.records.news_per_s = others * limits::kUpdateIntakeShare;
-  t.shared.records.pull_per_s = std::max(others * limits::kPullIntakeShare, 1.0);
+  config.shared.self = fleet::MemberId(static_cast<std::uint16_t>(peers.index));
+  config.shared.zone = peers.zone;
+  config.shared.duties.nodes = config.shared.records.nodes = s.fleet_size;
+  config.shared.duties.clocks = config.shared.duties.counter_timeout = s.counter_timeout;
+  config.shared.records.clocks = s.counter_timeout;
+  config.shared.records.term = config.shared.duties.term();
+  config.shared.records.spaces = limits::kRecordSpaces;
+  config.shared.records.sealed = peers.terms.key.has_value();
+  const double intake_per_s = peers.terms.in_per_s * limits::kCoordinationIntakeShare;
+  config.shared.records.news_per_s = intake_per_s * limits::kUpdateIntakeShare;
+  config.shared.records.pull_per_s = std::max(intake_per_s * limits::kPullIntakeShare, 1.0);
   try {
-    fleet::validate(t.shared.duties);
-    fleet::validate(t.shared.records);
+    fleet::validate(config.shared.duties);
+    fleet::validate(config.shared.records);
   } catch (const std::invalid_argument& x) {
     throw FieldError(std::string("field 'members': ") + x.what());
   }
-  return t;
+  return config;
 }
 
-// The shares of clients and servers are taken of what the system gives, where that is less than
-// what is told.
-std::size_t within_system(std::size_t told) {
+// The configured number of descriptors, at most the system's limit for this process.
+std::size_t clamp_to_system_limit(std::size_t configured) {
   rlimit system{};
-  return ::getrlimit(RLIMIT_NOFILE, &system) == 0 ? std::min<std::size_t>(told, system.rlim_cur)
-                                                  : told;
+  return ::getrlimit(RLIMIT_NOFILE, &system) == 0
+             ? std::min<std::size_t>(configured, system.rlim_cur)
+             : configured;
 }
 
 struct Configuration {
@@ -75,67 +76,66 @@
   NodeConfig node;
 };
 
-// Where the configuration is: a file named on the command line, or GW_CONFIG.
-struct Source {
+// Location of the configuration: a file given on the command line, or else by GW_CONFIG.
+struct ConfigSource {
   std::string file;
-  std::string members = "off";
-  std::string path() const { return file.empty() ? variable("GW_CONFIG") : file; }
-  std::string named() const { return file.empty() ? "variable GW_CONFIG: " : "--config: "; }
+  std::string members = "off";  // of the command line
+  std::string path() const { return file.empty() ? environment_variable("GW_CONFIG") : file; }
+  std::string error_prefix() const { return file.empty() ? "variable GW_CONFIG: " : "--config: "; }
 };
 
-// Every key that the file in force holds: one that is cut short or edited by mistake is not taken
-// in part.
-void require_keys(const json& in_force, const json& next, const std::string& at) {
-  if (in_force.is_array()) {
-    if (!next.is_array() || in_force.empty() || !in_force.front().is_object()) return;
-    for (const auto& entry : next) require_keys(in_force.front(), entry, at);
+// Requires each key of the current file in the next one, so that a truncated or mistakenly edited
+// file is not applied in part. `parent` is the key of the compared objects, for messages.
+void require_keys(const json& current, const json& next, const std::string& parent) {
+  if (current.is_array()) {
+    if (!next.is_array() || current.empty() || !current.front().is_object()) return;
+    for (const auto& entry : next) require_keys(current.front(), entry, parent);
     return;
   }
-  if (!in_force.is_object()) return;
-  object_of(next, at.c_str());
-  for (const auto& [key, value] : in_force.items()) {
-    if (!next.contains(key)) throw FieldError("field '" + key + "' is missing in '" + at + "'");
-    if (key != "known") require_keys(value, next.at(key), key);  // a list of its own time
+  if (!current.is_object()) return;
+  object_of(next, parent.c_str());
+  for (const auto& [key, value] : current.items()) {
+    if (!next.contains(key)) throw FieldError("field '" + key + "' is missing in '" + parent + "'");
+    if (key != "known") require_keys(value, next.at(key), key);  // a snapshot that may differ
   }
 }
 
-// What of members is on, as words with commas between: "off", "on" (a view, nothing more), or what
-// the view is used for besides: "pace" (the counter is called by the number of the living), "jobs"
-// (batch jobs that outlive their node).
-struct MembersWords {
+// What membership is used for, as a comma-separated list: "off", "on" (the view alone), "pace" (the
+// rate of counter calls follows the number of live members), "jobs" (batch jobs that survive the
+// failure of their node).
+struct MembershipUse {
   bool on = false, pace = false, jobs = false;
 };
-MembersWords members_words(const std::string& words, const char* key) {
-  MembersWords m;
-  std::istringstream text(words);
+MembershipUse parse_membership_use(const std::string& list, const char* key) {
+  MembershipUse use;
+  std::istringstream text(list);
   for (std::string word; std::getline(text, word, ',');) {
     if (word != "off" && word != "on" && word != "pace" && word != "jobs")
       fail_field(key, "off, on, pace or jobs");
-    m.on = m.on || word != "off";
-    m.pace = m.pace || word == "pace";
-    m.jobs = m.jobs || word == "jobs";
+    use.on = use.on || word != "off";
+    use.pace = use.pace || word == "pace";
+    use.jobs = use.jobs || word == "jobs";
   }
-  return m;
+  return use;
 }
 
-Udp::endpoint peer_address(const std::string& value, const char* name) {
-  const auto at = address(value, name);
-  return {at.address(), at.port()};
+Udp::endpoint parse_peer_address(const std::string& value, const char* name) {
+  const auto address = parse_address(value, name);
+  return {address.address(), address.port()};
 }
 
-// The command line says whether members are on; `members` in the configuration, where it is there,
-// says it instead, and may hold the key that seals datagrams. Where the settings allow no messages
-// between nodes members stay off.
-std::optional<GossipConfig> read_peers(const json& config, const json& settings,
-                                       const reading::NamedSettings& named,
-                                       const std::string& words) {
-  auto use = members_words(words, "--members");
+// `members` in the configuration overrides the command line, and may hold the key that seals
+// datagrams. Returns none, whatever they say, if the settings allow no messages between nodes.
+std::optional<GossipConfig> read_membership(const json& config, const json& settings,
+                                            const reading::NamedSettings& named,
+                                            const std::string& command_line_use) {
+  auto use = parse_membership_use(command_line_use, "--members");
   std::optional<fleet::Key> key;
-  if (const auto* m = optional_field(config, "members")) {
-    object_of(*m, "members");
-    if (const auto* on = optional_field(*m, "use"))
-      use = members_words(text_of(*on, "members.use"), "members.use");
-    if (const auto* hex = optional_field(*m, "key")) {
+  if (const auto* members = optional_field(config, "members")) {
+    object_of(*members, "members");
+    if (const auto* list = optional_field(*members, "use"))
+      use = parse_membership_use(text_of(*list, "members.use"), "members.use");
+    if (const auto* hex = optional_field(*members, "key")) {
       try {
         key = fleet::key_of(text_of(*hex, "members.key"));
       } catch (const std::invalid_argument& x) {
@@ -146,66 +146,69 @@
   if (!use.on || !boolean(object_of(field(settings, "ceilings"), "ceilings"), "peer-messages"))
     return std::nullopt;
   const auto& s = named.settings;
-  GossipConfig p;
-  p.listen = peer_address(text(config, "peer_listen"), "peer_listen");
-  for (const auto& at : list_of(field(config, "peers"), "peers"))
-    p.addresses.push_back(peer_address(text_of(at, "peers"), "peers"));
-  if (p.addresses.size() != s.fleet_size)
+  GossipConfig gossip;
+  gossip.listen = parse_peer_address(text(config, "peer_listen"), "peer_listen");
+  for (const auto& address : list_of(field(config, "peers"), "peers"))
+    gossip.addresses.push_back(parse_peer_address(text_of(address, "peers"), "peers"));
+  if (gossip.addresses.size() != s.fleet_size)
     fail_field("peers", "an address for each node of the settings");
-  p.terms.nodes = s.fleet_size;
-  p.terms.in_per_s = number(object_of(field(settings, "extra"), "extra"), "inbox-per-s");
-  p.terms.key = key;
-  p.index = s.gateway_index;
-  p.paces = use.pace;
-  p.jobs = use.jobs;
-  p.zones.resize(named.names.zones.size());
-  for (const auto& [name, number] : named.names.zones) p.zones.at(number) = name;
-  if (p.zones.size() > fleet::kZones) fail_field("zones", "a list that members can tell");
-  p.zone = static_cast<std::uint8_t>(s.zone);
+  gossip.terms.nodes = s.fleet_size;
+  gossip.terms.in_per_s = number(object_of(field(settings, "extra"), "extra"), "inbox-per-s");
+  gossip.terms.key = key;
+  gossip.index = s.gateway_index;
+  gossip.paces = use.pace;
+  gossip.jobs = use.jobs;
+  gossip.zones.resize(named.names.zones.size());
+  for (const auto& [name, number] : named.names.zones) gossip.zones.at(number) = name;
+  if (gossip.zones.size() > fleet::kZones)
+    fail_field("zones", "a list short enough for membership datagrams");
+  gossip.zone = static_cast<std::uint8_t>(s.zone);
   try {
-    fleet::validate(p.terms);
+    fleet::validate(gossip.terms);
   } catch (const std::invalid_argument& x) {
     throw FieldError(std::string("field 'members': ") + x.what());
   }
-  return p;
+  return gossip;
 }
 
-Configuration read_config(const Source& source, const json* in_force = nullptr) {
+// Reads and validates the configuration. With `current`, its file must hold each key of that one.
+Configuration read_config(const ConfigSource& source, const json* current = nullptr) {
   const auto path = source.path();
   std::ifstream file(path);
-  if (!file) throw FieldError(source.named() + "can't read " + path);
+  if (!file) throw FieldError(source.error_prefix() + "can't read " + path);
   auto config = json::parse(file, nullptr, false);
-  if (config.is_discarded()) throw FieldError(source.named() + path + " is not JSON");
+  if (config.is_discarded()) throw FieldError(source.error_prefix() + path + " is not JSON");
   object_of(config, "config");
-  if (in_force != nullptr) require_keys(*in_force, config, "config");
+  if (current != nullptr) require_keys(*current, config, "config");
   NodeConfig c;
   c.name = text(config, "name");
-  c.listen = address(text(config, "listen"), "listen");
+  c.listen = parse_address(text(config, "listen"), "listen");
   c.discovery_host = text(config, "discovery");
-  c.discovery = address(c.discovery_host, "discovery");
+  c.discovery = parse_address(c.discovery_host, "discovery");
   const auto& limits = object_of(field(config, "limits"), "limits");
-  c.descriptors = within_system(positive_uint32(limits, "sockets"));
+  c.descriptors = clamp_to_system_limit(positive_uint32(limits, "sockets"));
   c.seed = hex(config, "seed");
   c.known_endpoints = object_of(field(config, "known"), "known");
   const auto& settings = object_of(field(config, "settings"), "settings");
   c.settings = read_settings(settings);
   c.keep_alive = non_negative_duration(object_of(field(settings, "ceilings"), "ceilings"),
                                        "keepalive-ns");
-  if (c.settings.settings.counter) c.counter = address(text(config, "counter"), "counter");
-  if (const auto* at = optional_field(config, "control"))
-    c.control = address(text_of(*at, "control"), "control");
-  else if (const char* named = std::getenv("GW_CONTROL"); named != nullptr && *named != '\0')
-    c.control = address(named, "control");
+  if (c.settings.settings.counter) c.counter = parse_address(text(config, "counter"), "counter");
+  if (const auto* address = optional_field(config, "control"))
+    c.control = parse_address(text_of(*address, "control"), "control");
+  else if (const char* variable = std::getenv("GW_CONTROL");
+           variable != nullptr && *variable != '\0')
+    c.control = parse_address(variable, "control");
   if (const char* folder = std::getenv("TMPDIR"); folder != nullptr && *folder != '\0')
     c.handover_path = std::string(folder) + "/petrelrail-" + text(config, "listen") + ".sock";
   validate(c.settings.settings);
-  c.gossip = read_peers(config, settings, c.settings, source.members);
-  if (c.gossip && c.gossip->jobs) c.coordination = read_together(*c.gossip, c);
+  c.gossip = read_membership(config, settings, c.settings, source.members);
+  if (c.gossip && c.gossip->jobs) c.coordination = make_coordination_config(*c.gossip, c);
   return {std::move(config), std::move(c)};
 }
 
-// What the node would do with this configuration, for --check.
-std::string told(const Configuration& c) {
+// A summary of the configuration for --check.
+std::string describe(const Configuration& c) {
   const auto& n = c.node;
   const auto& s = n.settings.settings;
   const auto zone = std::ranges::find_if(
@@ -243,58 +246,57 @@
   return text.str();
 }
 
-// What can't change while the node runs stays as it was at the start: one line names the keys of
-// the file that say otherwise. The rest of it is taken: a file turned down for them would lose
-// where discovery is now.
-void warn_of_unchanged(const json& at_start, const json& next) {
+// Logs the keys of a reloaded file that differ from the start but can't change while the node runs.
+// The rest of the file is applied: refusing it would also refuse a new address of discovery.
+void warn_about_fixed_keys(const json& at_start, const json& next) {
   static constexpr std::array<const char*, 8> fixed{"/name",        "/listen", "/limits/sockets",
                                                     "/peer_listen", "/peers",  "/peers_all",
                                                     "/control",     "/members"};
   std::string keys;
   for (const auto* key : fixed) {
-    const json::json_pointer at(key);
-    if (at_start.value(at, json()) == next.value(at, json())) continue;
+    const json::json_pointer pointer(key);
+    if (at_start.value(pointer, json()) == next.value(pointer, json())) continue;
     if (!keys.empty()) keys += ',';
     for (const char c : std::string_view(key).substr(1)) keys += c == '/' ? '.' : c;
   }
   if (!keys.empty()) log::warning("node", "has no effect until the next start", {{"keys", keys}});
 }
 
-// A new configuration that can't be read changes nothing.
-void reconfigure_on(asio::signal_set& signals, Node& node, const Source& source,
-                    const json& at_start, json& in_force) {
+// Reloads the configuration on each signal. A configuration that is refused changes nothing.
+void reload_on_signal(asio::signal_set& signals, Node& node, const ConfigSource& source,
+                      const json& at_start, json& current) {
   signals.async_wait([&](const error_code& failed, int) {
     if (failed) return;
     try {
-      auto next = read_config(source, &in_force);
+      auto next = read_config(source, &current);
       node.reconfigure(next.node);
-      warn_of_unchanged(at_start, next.file);
-      in_force = std::move(next.file);
+      warn_about_fixed_keys(at_start, next.file);
+      current = std::move(next.file);
       node.on_reload(true);
       log::info("node", "configuration read again");
     } catch (const std::exception& x) {
       node.on_reload(false);
       log::warning("node", std::string("the configuration stays as it was: ") + x.what());
     }
-    reconfigure_on(signals, node, source, at_start, in_force);
+    reload_on_signal(signals, node, source, at_start, current);
   });
 }
 
-// Nothing that goes wrong with one event ends the process.
-void serve(asio::io_context& io) {
+// Runs the event loop; an exception in one handler is logged and does not end the process.
+void run_event_loop(asio::io_context& io) {
   for (;;) {
     try {
       io.run();
       return;
     } catch (const std::exception& x) {
-      log::warning("node", "a handler failed", {{"why", x.what()}});
+      log::warning("node", "an event handler failed", {{"why", x.what()}});
     }
   }
 }
 
-int check(const Source& source) {
+int check(const ConfigSource& source) {
   try {
-    std::cout << told(read_config(source));
+    std::cout << describe(read_config(source));
     return EXIT_SUCCESS;
   } catch (const std::exception& x) {
     std::cerr << "petrelrail: " << x.what() << '\n';
@@ -302,65 +304,64 @@
   }
 }
 
-int run(const Source& source, log::Form form) {
-  log::set_up(form);
+int run(const ConfigSource& source, log::Form log_form) {
+  log::set_up(log_form);
   std::signal(SIGPIPE, SIG_IGN);
   asio::io_context io(1);
   auto config = read_config(source);
-  log::set_up(form, config.node.name);
+  log::set_up(log_form, config.node.name);
   Node node(io, std::move(config.node));
-  asio::signal_set signals(io, SIGTERM, SIGINT);
-  signals.async_wait([&](const error_code& failed, int) {
+  asio::signal_set termination_signals(io, SIGTERM, SIGINT);
+  termination_signals.async_wait([&](const error_code& failed, int) {
     if (!failed) node.drain([&io] { io.stop(); });
   });
-  asio::signal_set hang_ups(io, SIGHUP);
+  asio::signal_set reload_signals(io, SIGHUP);
   const json at_start = config.file;
-  reconfigure_on(hang_ups, node, source, at_start, config.file);
+  reload_on_signal(reload_signals, node, source, at_start, config.file);
   try {
     node.start([&io] { io.stop(); });
   } catch (const boost::system::system_error& x) {
     throw FieldError(std::string("field 'listen': ") + x.code().message());
   }
-  serve(io);
+  run_event_loop(io);
   return EXIT_SUCCESS;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  Source source;
-  std::string form = "text";
-  bool only_check = false, log_requests = false;
+  ConfigSource source;
+  std::string log_form = "text";
+  bool check_only = false, log_requests = false;
   CLI::App app{"The edge node: shares members' quotas over a fleet and serves on while parts fail.",
                "petrelrail"};
   app.set_version_flag("--version", std::string("petrelrail ") + PETRELRAIL_VERSION,
                        "print the version and end");
   app.add_option("--config", source.file,
-                 "the configuration, a JSON file; else what GW_CONFIG names");
-  app.add_option("--log", form, "the log's lines: text or json; else what GW_LOG says")
+                 "configuration file (JSON); default: the file that GW_CONFIG names");
+  app.add_option("--log", log_form, "log format: text or json; default: GW_LOG")
       ->envname("GW_LOG")
       ->check(CLI::IsMember({"text", "json"}))
       ->capture_default_str();
   app.add_option("--members", source.members,
-                 "off, on, or uses of the members' view with commas between (pace, jobs); else "
-                 "what GW_MEMBERS says")
+                 "off, on, or a comma-separated list of uses of the membership view (pace, jobs); "
+                 "default: GW_MEMBERS")
       ->envname("GW_MEMBERS")
       ->capture_default_str();
-  app.add_flag(
-         "--log-requests", log_requests,
-         "a line for every event of every request, whatever their rate; else GW_LOG_REQUESTS=1")
+  app.add_flag("--log-requests", log_requests,
+               "log every event of every request without a rate limit; default: GW_LOG_REQUESTS=1")
       ->envname("GW_LOG_REQUESTS");
-  app.add_flag("--check", only_check,
-               "read the configuration, say what it would do or which field is wrong: exit 0 or 2");
+  app.add_flag("--check", check_only,
+               "read the configuration, print a summary or the field that is wrong: exit 0 or 2");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? EXIT_SUCCESS : limits::kBadInputExitStatus;
   }
   log::log_requests(log_requests);
-  if (only_check) return check(source);
+  if (check_only) return check(source);
   try {
-    return run(source, log::form_of(form));
+    return run(source, log::form_of(log_form));
   } catch (const std::exception& x) {
     log::write(log::Level::error, "node", x.what());
     return EXIT_FAILURE;
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -57,8 +57,8 @@
   // Applies the settings and the addresses of discovery and the counter of a new configuration.
   // Throws, and changes nothing, if it differs in what can't change while the node runs.
   void reconfigure(const NodeConfig& config);
-  // Stops accepting sessions after limits::kNewConnectionsAfterTerm, and calls `done` when no
-  // request is open any more, or shortly before SIGKILL.
+  // Ends sessions with their next response, and calls `done` when no request is open any more and
+  // no client has connected for limits::kNewConnectionsAfterTerm.
   void drain(std::function<void()> done);
   Tcp::endpoint listen_address() const { return http_server_.listen_address(); }
   Tcp::endpoint admin_listen_address() const { return admin_server_.listen_address(); }
--- a/src/node/settings_reader.hpp
+++ b/src/node/settings_reader.hpp
@@ -1,5 +1,5 @@
-// Reads the settings as they come in JSON, for the wire adapter and for the edge node. Every
-// mistake names the field.
+// Reads the settings from JSON, for the wire adapter and for the edge node. Each error is a
+// FieldError whose text names the field.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-// ---- Reading values: every mistake names the field ----------------------------------------------
+// ---- Values: `key` or `k` names the field in errors ---------------------------------------------
 
 struct FieldError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -30,8 +30,8 @@
   if (const auto* v = optional_field(o, key)) return *v;
   throw FieldError(std::string("field '") + key + "' is missing");
 }
-[[noreturn]] inline void fail_field(const char* key, const char* wanted) {
-  throw FieldError(std::string("field '") + key + "' is not " + wanted);
+[[noreturn]] inline void fail_field(const char* key, const char* expected) {
+  throw FieldError(std::string("field '") + key + "' is not " + expected);
 }
 inline std::int64_t integer_of(const json& v, const char* key) {
   if (v.is_number_unsigned() && v.get<std::uint64_t>() > INT64_MAX)
@@ -39,7 +39,7 @@
   if (!v.is_number_integer()) fail_field(key, "a whole number");
   return v.get<std::int64_t>();
 }
-inline std::uint64_t natural_of(const json& v, const char* key) {
+inline std::uint64_t unsigned_integer_of(const json& v, const char* key) {
   if (!v.is_number_unsigned()) {
     if (!v.is_number_integer() || v.get<std::int64_t>() < 0)
       fail_field(key, "a whole number of 0 or more");
@@ -47,7 +47,7 @@
   return v.get<std::uint64_t>();
 }
 inline std::uint32_t uint32_of(const json& v, const char* key) {
-  const auto n = natural_of(v, key);
+  const auto n = unsigned_integer_of(v, key);
   if (n > UINT32_MAX) fail_field(key, "a number below 2^32");
   return static_cast<std::uint32_t>(n);
 }
@@ -63,7 +63,7 @@
   if (!v.is_string()) fail_field(key, "a string");
   return v.get_ref<const std::string&>();
 }
-// Both give back what they were given, which outlives the call.
+// Both return their argument, which outlives the call.
 // NOLINTBEGIN(bugprone-return-const-ref-from-parameter)
 inline const json& list_of(const json& v, const char* key) {
   if (!v.is_array()) fail_field(key, "a list");
@@ -81,7 +81,7 @@
 inline bool boolean(const json& o, const char* k) { return boolean_of(field(o, k), k); }
 inline const std::string& text(const json& o, const char* k) { return text_of(field(o, k), k); }
 inline Duration duration(const json& o, const char* k) { return Duration(integer(o, k)); }
-// A time that can be waited for: above 0, and so that some of them can be added to the clock's.
+// In nanoseconds, above 0, and small enough that sums with the current time don't overflow.
 inline Duration positive_duration(const json& o, const char* k) {
   const auto d = duration(o, k);
   if (d <= Duration{} || d > Duration::max() / 4)
@@ -130,16 +130,17 @@
 }
 
 template <class T, std::size_t N>
-T named(const json& o, const char* k, const std::array<std::pair<const char*, T>, N>& words) {
-  const auto& word = text(o, k);
-  for (const auto& [name, value] : words)
-    if (word == name) return value;
-  throw FieldError(std::string("field '") + k + "' has the unknown value '" + word + "'");
+T enum_value(const json& o, const char* k, const std::array<std::pair<const char*, T>, N>& values) {
+  const auto& text_value = text(o, k);
+  for (const auto& [name, value] : values)
+    if (text_value == name) return value;
+  throw FieldError(std::string("field '") + k + "' has the unknown value '" + text_value + "'");
 }
 
 // ---- Settings -----------------------------------------------------------------------------------
 
-struct SettingNames {  // of what the settings number
+// Index of each name in the settings.
+struct SettingNames {
   std::map<std::string, std::uint32_t> classes, plans, zones;
 };
 struct NamedSettings {
@@ -147,7 +148,7 @@
   SettingNames names;
 };
 
-// The next number for a name: what has a name of its own can be told apart by it.
+// Gives the name the next index. Throws if it is there already, because names identify entries.
 inline void add_name(std::map<std::string, std::uint32_t>& index, const std::string& name,
                      const char* key) {
   if (!index.emplace(name, index.size()).second)
@@ -171,75 +172,75 @@
   return it->second;
 }
 
-inline RequestClass request_class(const json& g) {
-  static constexpr std::array<std::pair<const char*, Idempotency>, 3> effects{
+inline RequestClass read_request_class(const json& j) {
+  static constexpr std::array<std::pair<const char*, Idempotency>, 3> idempotencies{
       {{"safe", Idempotency::idempotent},
        {"keyed", Idempotency::idempotency_key},
        {"unsafe", Idempotency::non_idempotent}}};
-  static constexpr std::array<std::pair<const char*, DeduplicationScope>, 3> groups{
+  static constexpr std::array<std::pair<const char*, DeduplicationScope>, 3> scopes{
       {{"all", DeduplicationScope::all},
        {"zone", DeduplicationScope::zone},
        {"cell", DeduplicationScope::cell}}};
   RequestClass c;
-  c.name = text(g, "name");
-  // It is the first part of a request's path.
-  const auto ends_part = [](char x) {
+  c.name = text(j, "name");
+  // The name is the first segment of a request's path.
+  const auto ends_segment = [](char x) {
     return x == '/' || x == '?' || static_cast<unsigned char>(x) <= ' ';
   };
-  if (c.name.empty() || std::ranges::any_of(c.name, ends_part))
+  if (c.name.empty() || std::ranges::any_of(c.name, ends_segment))
     fail_field("name", "a part of a path");
-  c.priority_weight = non_negative_number(g, "gain");
-  c.late_weight = number(g, "late-worth");
-  c.latency_objective = positive_duration(g, "on-time-ns");
-  c.deadline = positive_duration(g, "hard-limit-ns");
-  c.idempotency = named(g, "idempotency", effects);
-  c.deduplication_scope = named(g, "group", groups);
-  // The longest are as good as for ever, and what they end at is still a time.
-  c.deduplication_window = std::min(non_negative_duration(g, "memory-span-ns"),
+  c.priority_weight = non_negative_number(j, "gain");
+  c.late_weight = number(j, "late-worth");
+  c.latency_objective = positive_duration(j, "on-time-ns");
+  c.deadline = positive_duration(j, "hard-limit-ns");
+  c.idempotency = enum_value(j, "idempotency", idempotencies);
+  c.deduplication_scope = enum_value(j, "group", scopes);
+  // Clamped so that the end of a window, added to the current time, does not overflow.
+  c.deduplication_window = std::min(non_negative_duration(j, "memory-span-ns"),
                                     Duration::max() / 4);
-  c.streamed = boolean(g, "streamed");
+  c.streamed = boolean(j, "streamed");
   return c;
 }
 
-inline Plan plan(const json& p) {
-  Plan q;
-  q.name = text(p, "name");
-  if (q.name.empty()) fail_field("name", "a plan's name");
-  q.rate = non_negative_number(p, "units-per-s");
-  q.burst = non_negative_number(p, "store-size");
-  q.ceiling_rate = non_negative_number(p, "ceiling-rate");
-  q.ceiling_burst = non_negative_number(p, "cap-depth");
-  q.ceiling_slack = non_negative_number(p, "tolerance");
-  if (q.rate > 0 && q.burst <= 0) fail_field("store-size", "above 0 with units-per-s");
-  if (q.ceiling_rate > 0 && q.ceiling_burst <= 0)
+inline Plan read_plan(const json& j) {
+  Plan p;
+  p.name = text(j, "name");
+  if (p.name.empty()) fail_field("name", "a plan's name");
+  p.rate = non_negative_number(j, "units-per-s");
+  p.burst = non_negative_number(j, "store-size");
+  p.ceiling_rate = non_negative_number(j, "ceiling-rate");
+  p.ceiling_burst = non_negative_number(j, "cap-depth");
+  p.ceiling_slack = non_negative_number(j, "tolerance");
+  if (p.rate > 0 && p.burst <= 0) fail_field("store-size", "above 0 with units-per-s");
+  if (p.ceiling_rate > 0 && p.ceiling_burst <= 0)
     fail_field("cap-depth", "above 0 with ceiling-rate");
-  q.max_concurrent = uint32(p, "max-out");
-  q.price = number(p, "value-factor");
-  q.over_quota_weight = number(p, "over-worth");
-  q.over_quota_cost = number(p, "overrun-cost");
-  return q;
+  p.max_concurrent = uint32(j, "max-out");
+  p.price = number(j, "value-factor");
+  p.over_quota_weight = number(j, "over-worth");
+  p.over_quota_cost = number(j, "overrun-cost");
+  return p;
 }
 
-inline NamedSettings read_settings(const json& f) {
-  const auto& limits = object_of(field(f, "ceilings"), "ceilings");
-  const auto& extra = object_of(field(f, "extra"), "extra");
-  const auto& safety = object_of(field(f, "safety"), "safety");
-  const auto& prices = object_of(field(f, "prices"), "prices");
+inline NamedSettings read_settings(const json& j) {
+  const auto& limits = object_of(field(j, "ceilings"), "ceilings");
+  const auto& extra = object_of(field(j, "extra"), "extra");
+  const auto& safety = object_of(field(j, "safety"), "safety");
+  const auto& prices = object_of(field(j, "prices"), "prices");
   NamedSettings named_settings;
   auto& s = named_settings.settings;
   auto& [classes, plans, zones] = named_settings.names;
-  zones = read_names(field(f, "zones"), "zones");
-  for (const auto& g : non_empty_list(f, "grades")) {
-    s.classes.push_back(request_class(object_of(g, "grades")));
+  zones = read_names(field(j, "zones"), "zones");
+  for (const auto& entry : non_empty_list(j, "grades")) {
+    s.classes.push_back(read_request_class(object_of(entry, "grades")));
     add_name(classes, s.classes.back().name, "grades");
   }
-  for (const auto& p : non_empty_list(f, "packages")) {
-    s.plans.push_back(plan(object_of(p, "packages")));
+  for (const auto& entry : non_empty_list(j, "packages")) {
+    s.plans.push_back(read_plan(object_of(entry, "packages")));
     add_name(plans, s.plans.back().name, "packages");
   }
-  s.fleet_size = positive_uint32(f, "fleet-size");
-  s.gateway_index = uint32(f, "index");
-  s.zone = ZoneIndex(index_of(zones, f, "az"));
+  s.fleet_size = positive_uint32(j, "fleet-size");
+  s.gateway_index = uint32(j, "index");
+  s.zone = ZoneIndex(index_of(zones, j, "az"));
   s.max_attempts = positive_uint32(limits, "max-attempts");
   s.hedged_requests = boolean(limits, "second-copies");
   s.cancel = boolean(limits, "cancel");
@@ -263,8 +264,8 @@
   s.cross_zone_price = non_negative_number(prices, "cross-zone");
   s.health_check_price = number(prices, "probe");
   s.handshake_price = number_or_zero(prices, "handshake");
-  s.discovery_needs_subscription = text(f, "discovery") == "ask";
-  s.weights_known = text(f, "weights") != "off";
+  s.discovery_needs_subscription = text(j, "discovery") == "ask";
+  s.weights_known = text(j, "weights") != "off";
   return named_settings;
 }
 
