--- a/lab/records_study.cpp
+++ b/lab/records_study.cpp
@@ -49,7 +49,7 @@
 int records_study(const RecordsStudy& s) {
   const auto terms = terms_of(s.terms);
   fleet::validate(terms);
-  if (s.terms.nodes < 2 || s.terms.zones < 1 || s.terms.zones > fleet::kZones || s.seeds < 1)
+  if (s.terms.nodes < 2 || s.terms.zones < 1 || s.terms.zones > fleet::kMaxZones || s.seeds < 1)
     throw std::invalid_argument(
         "records are played with 2 nodes or more, 1 to 32 zones and 1 seed or more");
   for (const auto& name : s.cases)
--- a/src/fleet/book.cpp
+++ b/src/fleet/book.cpp
@@ -334,7 +334,7 @@
 }
 void Book::restore(BookingId id, const Record* record) {
   if (!record) return take_out(id), void(cancelled_.erase(id));
-  if (record->deleted) return take_out(id), void(cancelled_[id] = record->ends);
+  if (record->deleted) return take_out(id), void(cancelled_[id] = record->expiry_unix_s);
   auto b = decode_booking(id, record->value);
   Held h;
   try {
@@ -342,7 +342,7 @@
   } catch (const std::invalid_argument&) {  // the calendar here doesn't know its zone or days
     h.booking = std::move(b), h.differs = h.blind = true;
   }
-  h.ends = record->ends;
+  h.ends = record->expiry_unix_s;
   put(std::move(h));
 }
 void Book::forget(Time now) {
--- a/src/fleet/booking.cpp
+++ b/src/fleet/booking.cpp
@@ -154,7 +154,8 @@
   w.at = Minutes(in.number(static_cast<std::uint64_t>(kDay.count())));
   w.length = Minutes(in.number(static_cast<std::uint64_t>(kMostLength.count())));
   auto day = w.from;
-  for (auto n = in.number(kMostValue); n > 0; --n) w.except.push_back(day += days(in.number(span)));
+  for (auto n = in.number(kMaxRecordValueBytes); n > 0; --n)
+    w.except.push_back(day += days(in.number(span)));
   return w;
 }
 
@@ -296,12 +297,12 @@
   out.number(static_cast<std::uint64_t>(b.decided.time_since_epoch().count()));
   out.fixed(b.content, 8), out.fixed(b.windows_print, 4), out.fixed(b.zone_print, 4);
   write(out, b.wish);
-  check(out.text.size() <= kMostValue,
+  check(out.text.size() <= kMaxRecordValueBytes,
         "rule, names and exceptions are together too long for a record of 200 bytes");
   return std::move(out.text);
 }
 Booking decode_booking(BookingId id, std::string_view value) {
-  check(value.size() <= kMostValue, "longer than a record's value");
+  check(value.size() <= kMaxRecordValueBytes, "longer than a record's value");
   Reader in(value);
   check(in.fixed(1) == kVersionOfValue, "version is not known");
   Booking b;
--- a/src/fleet/datagram.cpp
+++ b/src/fleet/datagram.cpp
@@ -11,37 +11,38 @@
 namespace petrelrail::fleet {
 namespace {
 
-static_assert(crypto_shorthash_BYTES == kTagBytes && crypto_shorthash_KEYBYTES == sizeof(Key));
+static_assert(crypto_shorthash_BYTES == kTagBytes && crypto_shorthash_KEYBYTES == sizeof(SealKey));
 
 constexpr std::uint8_t kMagic = 0xA7;
-constexpr std::size_t kHeader = 19;  // bytes
+constexpr std::size_t kHeaderBytes = 19;
 constexpr unsigned kRankShift = 5;
-constexpr std::uint8_t kZoneMask = kZones - 1;
-constexpr unsigned kPart = 7;  // bits of a number in each of its bytes
-constexpr std::uint8_t kMore = 0x80;
-constexpr std::uint8_t kDeleted = 0xFF;  // in place of a value's size
-static_assert(kMostValue < kDeleted);
-constexpr std::size_t kRecordKey = 9, kRecordVersion = 14;  // bytes
-static_assert(kHeader + kRecordKey + kRecordVersion + sizeof(std::uint32_t) + 1 + kMostValue +
-                  kTagBytes <=
-              kMostBytes);
-// An entry's first bits: its rank, and with a suspect how many accuse it.
-constexpr std::uint8_t kAlive = 0, kFailed = 1, kLeft = 2, kSuspectBy1 = 3,
-                       kSuspectByMost = kSuspectBy1 + kAccusers - 1;
+constexpr std::uint8_t kZoneMask = kMaxZones - 1;
+constexpr unsigned kVarintBits = 7;  // value bits per byte of a variable-length number
+constexpr std::uint8_t kVarintContinues = 0x80;
+constexpr std::uint8_t kDeletedSize = 0xFF;  // in place of the value's size
+static_assert(kMaxRecordValueBytes < kDeletedSize);
+constexpr std::size_t kRecordKeyBytes = 9, kRecordVersionBytes = 14;
+static_assert(kHeaderBytes + kRecordKeyBytes + kRecordVersionBytes + sizeof(std::uint32_t) + 1 +
+                  kMaxRecordValueBytes + kTagBytes <=
+              kMaxDatagramBytes);
+// The status code in an entry's upper bits. A suspect's code also gives its number of
+// confirmations.
+constexpr std::uint8_t kAliveCode = 0, kFailedCode = 1, kLeftCode = 2, kSuspectCodeMin = 3,
+                       kSuspectCodeMax = kSuspectCodeMin + kMaxConfirmationsPerEntry - 1;
 
-std::uint8_t code_of(const Entry& e) {
-  switch (e.state.rank) {
-    case Rank::alive: return kAlive;
-    case Rank::failed: return kFailed;
-    case Rank::left: return kLeft;
-    case Rank::suspect: break;
+std::uint8_t code_of(const MemberEntry& e) {
+  switch (e.state.status) {
+    case MemberStatus::alive: return kAliveCode;
+    case MemberStatus::failed: return kFailedCode;
+    case MemberStatus::left: return kLeftCode;
+    case MemberStatus::suspect: break;
   }
-  return static_cast<std::uint8_t>(kSuspectBy1 + e.accusers.size() - 1);
+  return static_cast<std::uint8_t>(kSuspectCodeMin + e.suspected_by.size() - 1);
 }
-std::size_t parts_of(std::uint32_t n) {
-  std::size_t parts = 1;
-  while (n >>= kPart) ++parts;
-  return parts;
+std::size_t varint_bytes(std::uint32_t n) {
+  std::size_t bytes = 1;
+  while (n >>= kVarintBits) ++bytes;
+  return bytes;
 }
 
 class Writer {
@@ -52,27 +53,28 @@
       text_ += static_cast<char>(static_cast<std::uint8_t>(value >> (8 * (i - 1))));
   }
   void member(MemberId m) { number(static_cast<std::uint16_t>(m)); }
-  void entry(const Entry& e) {
+  void entry(const MemberEntry& e) {
     member(e.id);
     number(static_cast<std::uint8_t>(code_of(e) << kRankShift | (e.zone & kZoneMask)));
-    auto rest = e.state.incarnation;
-    for (; rest >= kMore; rest >>= kPart) number(static_cast<std::uint8_t>(rest | kMore));
-    number(static_cast<std::uint8_t>(rest));
-    if (e.state.rank != Rank::suspect) return number(e.state.life);
-    for (const auto a : e.accusers) member(a);
+    auto remaining = e.state.incarnation;
+    for (; remaining >= kVarintContinues; remaining >>= kVarintBits)
+      number(static_cast<std::uint8_t>(remaining | kVarintContinues));
+    number(static_cast<std::uint8_t>(remaining));
+    if (e.state.status != MemberStatus::suspect) return number(e.state.instance_id);
+    for (const auto a : e.suspected_by) member(a);
   }
-  void entries(const std::vector<Entry>& all) {
+  void entries(const std::vector<MemberEntry>& all) {
     for (const auto& e : all) entry(e);
   }
   void key(const RecordKey& k) { number(k.space), number(k.number); }
-  void version(const Version& v) { number(v.epoch), number(v.sequence), member(v.origin); }
-  void word(const DutyWord& d) {
-    number(d.duty), number(d.epoch), member(d.holder);
-    number(static_cast<std::uint8_t>(d.given));
+  void version(const RecordVersion& v) { number(v.epoch), number(v.sequence), member(v.origin); }
+  void lease_entry(const LeaseEntry& d) {
+    number(d.lease_id), number(d.epoch), member(d.holder);
+    number(static_cast<std::uint8_t>(d.transferred));
   }
   void record(const Record& r) {
-    key(r.key), version(r.version), number(r.ends);
-    number(r.deleted ? kDeleted : static_cast<std::uint8_t>(r.value.size()));
+    key(r.key), version(r.version), number(r.expiry_unix_s);
+    number(r.deleted ? kDeletedSize : static_cast<std::uint8_t>(r.value.size()));
     if (!r.deleted) text_ += r.value;
   }
   std::string take() { return std::move(text_); }
@@ -87,7 +89,7 @@
   template <class T>
   T number() {
     if (bytes_.size() < sizeof(T)) {
-      short_ = true;
+      malformed_ = true;
       bytes_ = {};
       return 0;
     }
@@ -97,30 +99,32 @@
     return value;
   }
   MemberId member() { return MemberId(number<std::uint16_t>()); }
-  Entry entry() {
-    Entry e;
+  MemberEntry entry() {
+    MemberEntry e;
     e.id = member();
     const auto packed = number<std::uint8_t>();
     const std::uint8_t code = packed >> kRankShift;
-    if (code > kSuspectByMost) short_ = true;
+    if (code > kSuspectCodeMax) malformed_ = true;
     e.zone = packed & kZoneMask;
     e.state.incarnation = incarnation();
-    e.state.rank = code == kAlive    ? Rank::alive
-                   : code == kFailed ? Rank::failed
-                   : code == kLeft   ? Rank::left
-                                     : Rank::suspect;
-    if (e.state.rank != Rank::suspect) {
-      e.state.life = number<std::uint16_t>();
+    e.state.status = code == kAliveCode    ? MemberStatus::alive
+                     : code == kFailedCode ? MemberStatus::failed
+                     : code == kLeftCode   ? MemberStatus::left
+                                           : MemberStatus::suspect;
+    if (e.state.status != MemberStatus::suspect) {
+      e.state.instance_id = number<std::uint16_t>();
     } else {
-      for (auto i = code; i >= kSuspectBy1 && !short_; --i) e.accusers.push_back(member());
+      for (auto i = code; i >= kSuspectCodeMin && !malformed_; --i)
+        e.suspected_by.push_back(member());
     }
     return e;
   }
-  std::vector<Entry> entries() {
-    std::vector<Entry> all;
-    while (!bytes_.empty() && !short_) all.push_back(entry());
-    // A known member's incarnations begin at 1.
-    if (std::ranges::any_of(all, [](const Entry& e) { return !e.state.known(); })) short_ = true;
+  std::vector<MemberEntry> entries() {
+    std::vector<MemberEntry> all;
+    while (!bytes_.empty() && !malformed_) all.push_back(entry());
+    // Incarnations on the wire begin at 1.
+    if (std::ranges::any_of(all, [](const MemberEntry& e) { return !e.state.known(); }))
+      malformed_ = true;
     return all;
   }
   RecordKey key() {
@@ -128,27 +132,27 @@
     k.space = number<std::uint8_t>(), k.number = number<std::uint64_t>();
     return k;
   }
-  Version version() {
-    Version v;
+  RecordVersion version() {
+    RecordVersion v;
     v.epoch = number<std::uint64_t>(), v.sequence = number<std::uint32_t>(), v.origin = member();
     return v;
   }
-  DutyWord word() {
-    DutyWord d;
-    d.duty = number<std::uint32_t>(), d.epoch = number<std::uint64_t>(), d.holder = member();
-    const auto given = number<std::uint8_t>();
-    if (given > 1 || d.epoch == 0) short_ = true;
-    d.given = given == 1;
+  LeaseEntry lease_entry() {
+    LeaseEntry d;
+    d.lease_id = number<std::uint32_t>(), d.epoch = number<std::uint64_t>(), d.holder = member();
+    const auto transferred = number<std::uint8_t>();
+    if (transferred > 1 || d.epoch == 0) malformed_ = true;
+    d.transferred = transferred == 1;
     return d;
   }
   Record record() {
     Record r;
-    r.key = key(), r.version = version(), r.ends = number<std::uint32_t>();
+    r.key = key(), r.version = version(), r.expiry_unix_s = number<std::uint32_t>();
     const auto size = number<std::uint8_t>();
-    r.deleted = size == kDeleted;
+    r.deleted = size == kDeletedSize;
     if (r.deleted) return r;
-    if (size > kMostValue || size > bytes_.size()) {
-      short_ = true;
+    if (size > kMaxRecordValueBytes || size > bytes_.size()) {
+      malformed_ = true;
       return r;
     }
     r.value.assign(reinterpret_cast<const char*>(bytes_.data()), size);
@@ -163,32 +167,33 @@
   template <class Item>
   std::vector<Item> all(Item (Reader::*one)()) {
     std::vector<Item> items;
-    while (!bytes_.empty() && !short_) items.push_back((this->*one)());
+    while (!bytes_.empty() && !malformed_) items.push_back((this->*one)());
     return items;
   }
-  bool done() const { return bytes_.empty(); }
-  bool whole() const { return !short_ && bytes_.empty(); }
+  bool empty() const { return bytes_.empty(); }
+  bool is_complete() const { return !malformed_ && bytes_.empty(); }
 
  private:
-  // Seven bits a byte, the least first, in no more bytes than it needs.
+  // A little-endian variable-length number of seven bits per byte in its shortest form.
   std::uint32_t incarnation() {
     std::uint64_t n = 0;
-    for (unsigned shift = 0; shift < 32; shift += kPart) {
-      const auto part = number<std::uint8_t>();
-      n |= static_cast<std::uint64_t>(part & (kMore - 1)) << shift;
-      if ((part & kMore) != 0) continue;
-      if (n > UINT32_MAX || (part == 0 && shift > 0)) short_ = true;
+    for (unsigned shift = 0; shift < 32; shift += kVarintBits) {
+      const auto byte = number<std::uint8_t>();
+      n |= static_cast<std::uint64_t>(byte & (kVarintContinues - 1)) << shift;
+      if ((byte & kVarintContinues) != 0) continue;
+      if (n > UINT32_MAX || (byte == 0 && shift > 0)) malformed_ = true;
       return static_cast<std::uint32_t>(n);
     }
-    short_ = true;
+    malformed_ = true;
     return 0;
   }
 
   std::span<const std::uint8_t> bytes_;
-  bool short_ = false;
+  bool malformed_ = false;
 };
 
-std::array<std::uint8_t, kTagBytes> tag_of(std::span<const std::uint8_t> bytes, const Key& key) {
+std::array<std::uint8_t, kTagBytes> tag_of(std::span<const std::uint8_t> bytes,
+                                           const SealKey& key) {
   std::array<std::uint8_t, kTagBytes> tag{};
   crypto_shorthash(tag.data(), bytes.data(), bytes.size(), key.data());
   return tag;
@@ -200,22 +205,22 @@
         using B = std::decay_t<decltype(b)>;
         if constexpr (std::is_same_v<B, Ping> || std::is_same_v<B, Ack> ||
                       std::is_same_v<B, Gossip>) {
-          w.entries(b.news);
+          w.entries(b.updates);
         } else if constexpr (std::is_same_v<B, PingRequest> || std::is_same_v<B, Nack>) {
           w.member(b.target);
-        } else if constexpr (std::is_same_v<B, Relayed>) {
+        } else if constexpr (std::is_same_v<B, IndirectAck>) {
           w.member(b.target);
-          w.entries(b.news);
-        } else if constexpr (std::is_same_v<B, SyncAsk>) {
+          w.entries(b.updates);
+        } else if constexpr (std::is_same_v<B, SyncRequest>) {
           for (const auto d : b.digests) w.number(d);
-        } else if constexpr (std::is_same_v<B, DutyTell>) {
-          for (const auto& d : b.words) w.word(d);
-        } else if constexpr (std::is_same_v<B, RecordTell>) {
+        } else if constexpr (std::is_same_v<B, LeaseAnnouncement>) {
+          for (const auto& d : b.entries) w.lease_entry(d);
+        } else if constexpr (std::is_same_v<B, RecordUpdate>) {
           for (const auto& r : b.records) w.record(r);
         } else if constexpr (std::is_same_v<B, RecordAck>) {
           for (const auto& h : b.held) w.key(h.key), w.version(h.version);
-        } else if constexpr (std::is_same_v<B, RecordAsk>) {
-          w.number(b.salt), w.number(b.room);
+        } else if constexpr (std::is_same_v<B, DigestRequest>) {
+          w.number(b.salt), w.number(b.max_datagrams);
           for (const auto d : b.digests) w.number(d);
         } else {
           w.entries(b.table);
@@ -233,23 +238,23 @@
     using B = std::variant_alternative_t<kind, Body>;
     B b;
     if constexpr (std::is_same_v<B, Ping> || std::is_same_v<B, Ack> || std::is_same_v<B, Gossip>) {
-      b.news = r.entries();
+      b.updates = r.entries();
     } else if constexpr (std::is_same_v<B, PingRequest> || std::is_same_v<B, Nack>) {
       b.target = r.member();
-    } else if constexpr (std::is_same_v<B, Relayed>) {
+    } else if constexpr (std::is_same_v<B, IndirectAck>) {
       b.target = r.member();
-      b.news = r.entries();
-    } else if constexpr (std::is_same_v<B, SyncAsk>) {
-      while (!r.done()) b.digests.push_back(r.number<std::uint16_t>());
-    } else if constexpr (std::is_same_v<B, DutyTell>) {
-      b.words = r.all(&Reader::word);
-    } else if constexpr (std::is_same_v<B, RecordTell>) {
+      b.updates = r.entries();
+    } else if constexpr (std::is_same_v<B, SyncRequest>) {
+      while (!r.empty()) b.digests.push_back(r.number<std::uint16_t>());
+    } else if constexpr (std::is_same_v<B, LeaseAnnouncement>) {
+      b.entries = r.all(&Reader::lease_entry);
+    } else if constexpr (std::is_same_v<B, RecordUpdate>) {
       b.records = r.all(&Reader::record);
     } else if constexpr (std::is_same_v<B, RecordAck>) {
       b.held = r.all(&Reader::held);
-    } else if constexpr (std::is_same_v<B, RecordAsk>) {
-      b.salt = r.number<std::uint16_t>(), b.room = r.number<std::uint8_t>();
-      while (!r.done()) b.digests.push_back(r.number<std::uint16_t>());
+    } else if constexpr (std::is_same_v<B, DigestRequest>) {
+      b.salt = r.number<std::uint16_t>(), b.max_datagrams = r.number<std::uint8_t>();
+      while (!r.empty()) b.digests.push_back(r.number<std::uint16_t>());
     } else {
       b.table = r.entries();
     }
@@ -259,37 +264,40 @@
 
 }  // namespace
 
-const char* name_of(Fault f) {
-  static constexpr std::array<const char*, kFaults> names{
+const char* name_of(DecodeError e) {
+  static constexpr std::array<const char*, kDecodeErrors> names{
       "none", "too_short", "too_long", "version", "kind", "malformed", "tag"};
-  return names[static_cast<std::size_t>(f)];
+  return names[static_cast<std::size_t>(e)];
 }
 
-std::size_t entry_bytes(const Entry& e) {
-  const auto rest = e.state.rank == Rank::suspect ? e.accusers.size() * sizeof(MemberId)
-                                                  : sizeof(e.state.life);
-  return sizeof(MemberId) + sizeof(std::uint8_t) + parts_of(e.state.incarnation) + rest;
+std::size_t entry_bytes(const MemberEntry& e) {
+  const auto remaining = e.state.status == MemberStatus::suspect
+                             ? e.suspected_by.size() * sizeof(MemberId)
+                             : sizeof(e.state.instance_id);
+  return sizeof(MemberId) + sizeof(std::uint8_t) + varint_bytes(e.state.incarnation) + remaining;
 }
 
 std::size_t record_bytes(const Record& r) {
-  return kRecordKey + kRecordVersion + sizeof(r.ends) + 1 + r.value.size();
+  return kRecordKeyBytes + kRecordVersionBytes + sizeof(r.expiry_unix_s) + 1 + r.value.size();
 }
 
-std::size_t room_for_body(bool sealed) { return kMostBytes - kHeader - (sealed ? kTagBytes : 0); }
+std::size_t max_body_bytes(bool sealed) {
+  return kMaxDatagramBytes - kHeaderBytes - (sealed ? kTagBytes : 0);
+}
 
-std::size_t room_for_news(bool sealed) {
-  // Beside the target that an answer passed on may name.
-  return room_for_body(sealed) - sizeof(std::uint16_t);
+std::size_t max_update_bytes(bool sealed) {
+  // An IndirectAck also carries its target.
+  return max_body_bytes(sealed) - sizeof(std::uint16_t);
 }
 
-std::size_t most_buckets(bool sealed) { return room_for_news(sealed) / sizeof(std::uint16_t); }
+std::size_t max_buckets(bool sealed) { return max_update_bytes(sealed) / sizeof(std::uint16_t); }
 
-std::string encode(const Message& m, const std::optional<Key>& key) {
+std::string encode(const Message& m, const std::optional<SealKey>& key) {
   Writer w;
   w.number(kMagic);
   w.number(static_cast<std::uint8_t>(kVersion << 4U | m.body.index()));
   w.member(m.header.sender);
-  w.number(m.header.incarnation), w.number(m.header.life);
+  w.number(m.header.incarnation), w.number(m.header.instance_id);
   w.number(static_cast<std::uint8_t>(m.header.zone & kZoneMask));
   w.number(m.header.echo), w.number(m.header.digest);
   write_body(w, m.body);
@@ -302,35 +310,36 @@
   return text;
 }
 
-Read decode(std::span<const std::uint8_t> bytes, const std::optional<Key>& key) {
-  const auto no = [](Fault f) { return Read{f, {}}; };
-  if (bytes.size() < kHeader + (key ? kTagBytes : 0)) return no(Fault::too_short);
-  if (bytes.size() > kMostBytes) return no(Fault::too_long);
-  if (bytes[0] != kMagic || bytes[1] >> 4U != kVersion) return no(Fault::version);
+DecodeResult decode(std::span<const std::uint8_t> bytes, const std::optional<SealKey>& key) {
+  const auto reject = [](DecodeError e) { return DecodeResult{e, {}}; };
+  if (bytes.size() < kHeaderBytes + (key ? kTagBytes : 0)) return reject(DecodeError::too_short);
+  if (bytes.size() > kMaxDatagramBytes) return reject(DecodeError::too_long);
+  if (bytes[0] != kMagic || bytes[1] >> 4U != kVersion) return reject(DecodeError::version);
   if (key) {
     const auto body = bytes.first(bytes.size() - kTagBytes);
     const auto tag = tag_of(body, *key);
     if (sodium_memcmp(tag.data(), bytes.last(kTagBytes).data(), kTagBytes) != 0)
-      return no(Fault::tag);
+      return reject(DecodeError::tag);
     bytes = body;
   }
   const std::size_t kind = bytes[1] & 0x0FU;
   Reader r(bytes.subspan(2));
-  Read read;
-  auto& h = read.message.header;
+  DecodeResult result;
+  auto& h = result.message.header;
   h.sender = r.member();
-  h.incarnation = r.number<std::uint32_t>(), h.life = r.number<std::uint16_t>();
+  h.incarnation = r.number<std::uint32_t>(), h.instance_id = r.number<std::uint16_t>();
   h.zone = r.number<std::uint8_t>();
   h.echo = r.number<std::uint32_t>(), h.digest = r.number<std::uint32_t>();
   auto body = read_body(kind, r);
-  if (!body) return no(Fault::kind);
-  if (!r.whole() || h.incarnation == 0 || h.zone >= kZones) return no(Fault::malformed);
-  read.message.body = std::move(*body);
-  return read;
+  if (!body) return reject(DecodeError::kind);
+  if (!r.is_complete() || h.incarnation == 0 || h.zone >= kMaxZones)
+    return reject(DecodeError::malformed);
+  result.message.body = std::move(*body);
+  return result;
 }
 
-Key key_of(const std::string& hex) {
-  Key key{};
+SealKey key_of(const std::string& hex) {
+  SealKey key{};
   std::size_t size = 0;
   if (hex.size() != 2 * key.size() ||
       sodium_hex2bin(key.data(), key.size(), hex.data(), hex.size(), nullptr, &size, nullptr) !=
--- a/src/fleet/duty.cpp
+++ b/src/fleet/duty.cpp
@@ -134,16 +134,16 @@
   step(now);
 }
 
-void Duty::view(Time now, const View& v) {
+void Duty::view(Time now, const MembershipView& v) {
   touch(now);
   order_.clear(), heirs_.clear();
   const auto salt = hash_of(name_);
   std::vector<std::pair<std::uint64_t, MemberId>> ranked;
-  const auto count = std::min<std::size_t>(v.seats ? v.seats->size() : 0, terms_.nodes);
+  const auto count = std::min<std::size_t>(v.members ? v.members->size() : 0, terms_.nodes);
   for (std::size_t i = 0; i < count; ++i) {
-    const auto& s = (*v.seats)[i];
+    const auto& s = (*v.members)[i];
     const auto id = MemberId(static_cast<std::uint16_t>(i));
-    if (id == self_ || (s.state.known() && s.state.rank <= Rank::suspect && s.settled))
+    if (id == self_ || (s.state.known() && s.state.status <= MemberStatus::suspect && s.stable))
       ranked.emplace_back(mix_hash(salt ^ mix_hash(i)), id);
   }
   std::ranges::sort(ranked);
@@ -153,12 +153,12 @@
     const auto id = ranked[i].second;
     order_.push_back(id);
     if (id == self_) rank_ = i;
-    const auto& s = (*v.seats)[index_of(id)];
-    if (id != self_ && s.state.rank == Rank::alive && now - s.since >= 2 * terms_.term())
+    const auto& s = (*v.members)[index_of(id)];
+    if (id != self_ && s.state.status == MemberStatus::alive && now - s.since >= 2 * terms_.term())
       heirs_.push_back(id);
   }
   if (first() && !was_first) first_since_ = begins ? began_ : now;
-  majority_ = v.standing == Standing::majority;
+  majority_ = v.reachability == Reachability::majority;
   step(now);
 }
 
--- a/src/fleet/duty.hpp
+++ b/src/fleet/duty.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "datagram.hpp"
-#include "members.hpp"
+#include "membership.hpp"
 #include "petrelrail/events.hpp"
 
 namespace petrelrail::fleet {
@@ -72,7 +72,7 @@
   };
   struct Word {
     MemberId to{};
-    DutyWord word;
+    LeaseEntry word;
   };
   struct Holder {
     MemberId node{};
@@ -119,7 +119,7 @@
   // Whether there is anything to do under the duty. One that nobody needs is not claimed, a held
   // one is let go.
   void want(Time now, bool wanted);
-  void view(Time now, const View& view);
+  void view(Time now, const MembershipView& view);
   // The epoch under which this node may act at this moment. To be asked before each effect.
   std::optional<Epoch> may_act(Time now) const;
 
@@ -135,7 +135,7 @@
   void answered(Time now, std::uint64_t number, CounterOutcome outcome, double total);
 
   std::vector<Word> take_words() { return std::exchange(words_, {}); }
-  void heard(Time now, MemberId from, const DutyWord& word);
+  void heard(Time now, MemberId from, const LeaseEntry& word);
 
   // This node leaves: what it holds is given on at once, what it is about to win as soon as that is
   // sure. It goes on being ticked as long as it is there. Where there is nobody to give to, it acts
--- a/src/fleet/duty_words.cpp
+++ b/src/fleet/duty_words.cpp
@@ -35,12 +35,12 @@
   for (std::size_t i = 0; i < batch; ++i) say(order_[near + (term_of(epoch) * batch + i) % rest]);
 }
 
-void Duty::heard(Time now, MemberId from, const DutyWord& w) {
+void Duty::heard(Time now, MemberId from, const LeaseEntry& w) {
   touch(now);
   const auto term = term_of(w.epoch), present = terms_.term_at(now);
-  const bool gift = w.given && w.holder == self_;
-  if (w.duty != hash_ || from == self_ || index_of(from) >= terms_.nodes || term + 1 < present ||
-      term > present + 1 || !(gift || (!w.given && w.holder == from))) {
+  const bool gift = w.transferred && w.holder == self_;
+  if (w.lease_id != hash_ || from == self_ || index_of(from) >= terms_.nodes ||
+      term + 1 < present || term > present + 1 || !(gift || (!w.transferred && w.holder == from))) {
     ++figures_.words_odd;
     return;
   }
--- a/src/fleet/jobs.cpp
+++ b/src/fleet/jobs.cpp
@@ -266,7 +266,7 @@
   Pending p;
   p.kind = Pending::Kind::remove, p.calls = {call}, p.id = id, p.writes = 1;
   pending_.emplace(number, std::move(p));
-  write(id, kHeadPart, {}, head->ends, {id, {}, number, kHeadPart});
+  write(id, kHeadPart, {}, head->expiry_unix_s, {id, {}, number, kHeadPart});
 }
 
 void Jobs::do_fetch(Time now, CallId call, JobId id, std::uint32_t from) {
--- a/src/fleet/jobs_codec.cpp
+++ b/src/fleet/jobs_codec.cpp
@@ -12,11 +12,12 @@
 constexpr std::uint8_t kByRange = 0, kByKeys = 1;
 constexpr std::size_t kKeysInRecord = kMostKeyBytes / kKeyParts +
                                       2;  // bytes of them in each part but the last
-static_assert(kKeysInRecord <= kMostValue && kKeysInRecord * kKeyParts >= kMostKeyBytes);
+static_assert(kKeysInRecord <= kMaxRecordValueBytes && kKeysInRecord * kKeyParts >= kMostKeyBytes);
 constexpr std::size_t kHeadNumbers = 1 + 5 + 6 + 3 + 4, kLinesNumbers = 1 + 8 + 2;  // bytes
-static_assert(kHeadNumbers + 2 * (1 + kMostName) + 1 + kMostPath + kLinesNumbers <= kMostValue);
+static_assert(kHeadNumbers + 2 * (1 + kMostName) + 1 + kMostPath + kLinesNumbers <=
+              kMaxRecordValueBytes);
 constexpr unsigned kStateBits = 3;
-static_assert(kLinesInPart * kStateBits / 8 <= kMostValue);
+static_assert(kLinesInPart * kStateBits / 8 <= kMaxRecordValueBytes);
 constexpr std::uint64_t kMostCustomer = 1ULL << 33U, kMostPrefix = 1ULL << 48U;
 
 class Writer {
--- a/src/fleet/records.cpp
+++ b/src/fleet/records.cpp
@@ -72,13 +72,13 @@
   const auto need = [](bool holds, const char* what) {
     if (!holds) throw std::invalid_argument(std::string("records need ") + what);
   };
-  need(t.nodes >= 1 && t.nodes <= Terms::most_nodes(), "1 to 4096 nodes");
+  need(t.nodes >= 1 && t.nodes <= MembershipConfig::max_nodes(), "1 to 4096 nodes");
   need(t.news_per_s >= 0.1 && t.news_per_s <= 1000, "0.1 to 1000 slots a second");
   need(t.pull_per_s >= 1 && t.pull_per_s <= 1000, "1 to 1000 datagrams a second asked for");
   need(t.copies >= 1 && t.copies <= 16, "1 to 16 copies");
   need(t.spaces >= 1 && t.spaces <= kMostSpaces, "1 to 64 spaces");
   need(t.most_records >= 1 && t.most_records <= 1'000'000, "bounds of 1 to 1000000 records");
-  need(t.most_bytes >= kMostBytes, "bounds of 256 bytes or more");
+  need(t.most_bytes >= kMaxDatagramBytes, "bounds of 256 bytes or more");
   need(t.clocks >= Duration{}, "a bound on clocks of 0 or more");
   need(t.most_life > Duration{}, "a longest life of more than 0");
   need(t.term > Duration{} && t.gifts >= 1, "a term of more than 0 and 1 gift or more");
@@ -96,9 +96,9 @@
       spaces_(terms_.spaces) {
   if (index_of(self) >= terms_.nodes)
     throw std::invalid_argument("this node's number is not below the nodes'");
-  if (zone >= kZones)
+  if (zone >= kMaxZones)
     throw std::invalid_argument("this node's zone is beyond the zones that can be told");
-  if (terms_.nodes == 1) standing_ = Standing::majority, caught_up_ = true;
+  if (terms_.nodes == 1) standing_ = Reachability::majority, caught_up_ = true;
 }
 
 std::uint64_t Records::draw() { return random_ = mix_hash(random_ + 1); }
@@ -110,23 +110,23 @@
   due_ = now;
 }
 
-void Records::view(Time now, const View& view) {
+void Records::view(Time now, const MembershipView& view) {
   now_ = std::max(now_, now);
-  seats_ = view.seats;
-  standing_ = view.standing;
+  seats_ = view.members;
+  standing_ = view.reachability;
   std::set<std::uint8_t> zones{zone_};
   others_ = 0;
   for (std::uint16_t i = 0; i < terms_.nodes; ++i)
     if (living(MemberId(i))) ++others_, zones.insert((*seats_)[i].zone);
   living_zones_ = static_cast<std::uint32_t>(zones.size());
-  if (standing_ != Standing::majority) lost_sight();
+  if (standing_ != Reachability::majority) lost_sight();
   settle(now);
 }
 
 bool Records::living(MemberId m) const {
   if (m == self_ || !seats_ || index_of(m) >= seats_->size()) return false;
   const auto& s = (*seats_)[index_of(m)];
-  return s.state.known() && s.state.rank <= Rank::suspect && s.settled;
+  return s.state.known() && s.state.status <= MemberStatus::suspect && s.stable;
 }
 
 void Records::advance(Time now) {
@@ -172,13 +172,14 @@
 
 Records::Put Records::put(Time now, RecordKey key, std::uint64_t epoch, std::uint32_t ends,
                           std::string value) {
-  if (value.size() > kMostValue) return refuse(Put::Kind::too_large);
+  if (value.size() > kMaxRecordValueBytes) return refuse(Put::Kind::too_large);
   return write(now, {key, {epoch, 0, self_}, ends, false, std::move(value)});
 }
 
 Records::Put Records::erase(Time now, RecordKey key, std::uint64_t epoch, std::uint32_t ends) {
   const auto* known = table_.find(key);
-  return write(now, {key, {epoch, 0, self_}, std::max(ends, known ? known->ends : 0), true, {}});
+  return write(
+      now, {key, {epoch, 0, self_}, std::max(ends, known ? known->expiry_unix_s : 0), true, {}});
 }
 
 Records::Put Records::write(Time now, Record r) {
@@ -187,7 +188,7 @@
   if (r.key.space >= terms_.spaces) return refuse(Kind::no_space);
   const auto epoch = r.version.epoch;
   if (epoch == 0 || epoch > terms_.most_epoch(now)) return refuse(Kind::too_far);
-  if (r.ends <= unix_seconds(now)) return refuse(Kind::ended);
+  if (r.expiry_unix_s <= unix_seconds(now)) return refuse(Kind::ended);
   const auto* known = table_.find(r.key);
   if (known && known->version.epoch > epoch) return refuse(Kind::older);
   if (pending_.size() >= kMostPending) return refuse(Kind::full);
@@ -197,7 +198,7 @@
       space.sequence, known && known->version.epoch == epoch ? known->version.sequence : 0);
   if (before == UINT32_MAX) return refuse(Kind::older);
   r.version.sequence = before + 1;
-  if (known) r.ends = std::max(r.ends, known->ends);
+  if (known) r.expiry_unix_s = std::max(r.expiry_unix_s, known->expiry_unix_s);
   switch (table_.take(now, r)) {
     case RecordTable::Took::newer: break;
     case RecordTable::Took::far: return refuse(Kind::too_far);
@@ -216,7 +217,7 @@
 }
 
 bool Records::safe(const Pending& p) const {
-  if (standing_ != Standing::majority) return false;
+  if (standing_ != Reachability::majority) return false;
   std::uint32_t copies = 1;
   bool zones = living_zones_ < 2;
   for (const auto m : p.holders)
@@ -249,7 +250,7 @@
 
 // A member holds this version of a key. This node's own later version stands for the earlier one;
 // with another's the write is lost.
-void Records::held(MemberId by, const RecordKey& key, const Version& version) {
+void Records::held(MemberId by, const RecordKey& key, const RecordVersion& version) {
   for (auto& p : pending_) {
     const bool counts = p.key == key &&
                         (version == p.version || (version > p.version && version.origin == self_));
@@ -267,13 +268,15 @@
 
 const Record* Records::find(RecordKey key) const {
   const auto* r = table_.find(key);
-  return r && !r->deleted && key.space != kMarkSpace && r->ends > unix_seconds(now_) ? r : nullptr;
+  return r && !r->deleted && key.space != kMarkSpace && r->expiry_unix_s > unix_seconds(now_)
+             ? r
+             : nullptr;
 }
 
 void Records::each(std::uint8_t space, const std::function<void(const Record&)>& what) const {
   if (space == kMarkSpace) return;
   table_.each(space, [&](const Record& r) {
-    if (!r.deleted && r.ends > unix_seconds(now_)) what(r);
+    if (!r.deleted && r.expiry_unix_s > unix_seconds(now_)) what(r);
   });
 }
 
@@ -305,7 +308,7 @@
   const auto* known = table_.find(key);
   if (known && known->version.epoch > epoch) return;
   auto& s = spaces_[space];
-  const Version upto{epoch, s.epoch == epoch ? s.sequence : 0, self_};
+  const RecordVersion upto{epoch, s.epoch == epoch ? s.sequence : 0, self_};
   std::string value;
   append(value, static_cast<std::uint64_t>(now.time_since_epoch().count()));
   append(value, upto.epoch), append(value, upto.sequence),
--- a/src/fleet/records.hpp
+++ b/src/fleet/records.hpp
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "members.hpp"
+#include "membership.hpp"
 #include "records_table.hpp"
 
 namespace petrelrail::fleet {
@@ -110,7 +110,7 @@
   Records(RecordTerms terms, MemberId self, std::uint8_t zone, std::uint64_t seed);
 
   void start(Time now);
-  void view(Time now, const View& view);
+  void view(Time now, const MembershipView& view);
 
   // Writes as the holder of a duty under this epoch (from 1 on). `ends` is Unix time in seconds; a
   // key's end never comes earlier than it was. One process writes under an epoch.
@@ -162,7 +162,7 @@
   struct Pending {  // a write that isn't safe yet
     std::uint64_t ticket = 0;
     RecordKey key;
-    Version version;
+    RecordVersion version;
     Time ends{};
     std::vector<MemberId> holders;  // others
   };
@@ -179,7 +179,7 @@
   };
   struct Mark {
     Time at{};
-    Version upto;
+    RecordVersion upto;
     std::uint64_t digest = 0;
   };
   struct Space {
@@ -211,7 +211,7 @@
   bool safe(const Pending& p) const;
   void settle(Time now);
   void conclude(const Pending& p, bool is_safe);
-  void held(MemberId by, const RecordKey& key, const Version& version);
+  void held(MemberId by, const RecordKey& key, const RecordVersion& version);
 
   // Spreading.
   void add_news(const RecordKey& key);
@@ -222,8 +222,8 @@
 
   // Repair.
   void ask(Time now, std::uint64_t slot);
-  void answer(Time now, MemberId from, std::uint32_t echo, const RecordAsk& ask);
-  void told(MemberId from, std::uint32_t echo, const RecordTell& tell);
+  void answer(Time now, MemberId from, std::uint32_t echo, const DigestRequest& ask);
+  void told(MemberId from, std::uint32_t echo, const RecordUpdate& tell);
   void acked(MemberId from, std::uint32_t echo, const RecordAck& ack);
   void look_at_answer();
   unsigned level() const;
@@ -239,8 +239,8 @@
   std::uint64_t random_;
   RecordTable table_;
   std::array<Order, 2> orders_;
-  std::shared_ptr<const std::vector<View::Seat>> seats_;
-  Standing standing_ = Standing::alone;
+  std::shared_ptr<const std::vector<MembershipView::Member>> seats_;
+  Reachability standing_ = Reachability::alone;
   std::uint32_t others_ = 0, living_zones_ = 1;  // that live
   std::vector<News> news_;
   std::vector<Pending> pending_;
--- a/src/fleet/records_spread.cpp
+++ b/src/fleet/records_spread.cpp
@@ -57,7 +57,7 @@
   return MemberId(static_cast<std::uint16_t>((index_of(self_) + distance) % terms_.nodes));
 }
 
-std::size_t Records::room() const { return room_for_body(terms_.sealed); }
+std::size_t Records::room() const { return max_body_bytes(terms_.sealed); }
 
 // Each slot reaches one more: what is missed by all who know is a share of e^-sends.
 std::uint32_t Records::sends() const {
@@ -90,7 +90,7 @@
         break;
       }
   if (!living(to)) return;
-  RecordTell tell;
+  RecordUpdate tell;
   std::size_t used = 0;
   const auto add = [&](const RecordKey& key) {
     const auto* r = table_.find(key);
@@ -128,15 +128,16 @@
   }
   advance(now);
   const auto echo = message.header.echo;
-  if (const auto* tell = std::get_if<RecordTell>(&message.body)) told(from, echo, *tell);
+  if (const auto* tell = std::get_if<RecordUpdate>(&message.body)) told(from, echo, *tell);
   if (const auto* ack = std::get_if<RecordAck>(&message.body)) acked(from, echo, *ack);
-  if (const auto* asked = std::get_if<RecordAsk>(&message.body)) answer(now, from, echo, *asked);
+  if (const auto* asked = std::get_if<DigestRequest>(&message.body))
+    answer(now, from, echo, *asked);
   settle(now);
 }
 
 std::optional<RecordTable::Took> Records::take(const Record& r) {
   if (r.version.epoch == 0 || index_of(r.version.origin) >= terms_.nodes ||
-      r.value.size() > kMostValue || (r.deleted && !r.value.empty())) {
+      r.value.size() > kMaxRecordValueBytes || (r.deleted && !r.value.empty())) {
     ++figures_.odd;
     return std::nullopt;
   }
@@ -163,7 +164,7 @@
   return took;
 }
 
-void Records::told(MemberId from, std::uint32_t echo, const RecordTell& tell) {
+void Records::told(MemberId from, std::uint32_t echo, const RecordUpdate& tell) {
   const bool answers = (echo & kAnswerEcho) != 0;
   const bool mine = answers && ask_.open && ask_.to == from && ask_.echo == echo;
   if (mine && !tell.records.empty()) ask_.firsts.insert(tell.records.front().key);
@@ -228,11 +229,11 @@
   const auto buckets = (room() - kAskHeader) / sizeof(std::uint16_t);
   const auto before = std::exchange(level_, level());
   if (level_ != before) section_ = 0, run_ = quiet_run_ = 0;
-  RecordAsk body;
+  DigestRequest body;
   const auto mask = (1U << level_) - 1;
   body.salt = static_cast<std::uint16_t>(level_ << kLevelShift |
                                          (draw() & ((1U << kLevelShift) - 1) & ~mask) | section_);
-  body.room = static_cast<std::uint8_t>(rooms);
+  body.max_datagrams = static_cast<std::uint8_t>(rooms);
   ask_ = {};
   ask_.to = to, ask_.room = rooms, ask_.open = true;
   ask_.echo = static_cast<std::uint32_t>(draw()) | kAnswerEcho;
@@ -245,10 +246,10 @@
   send(to, std::move(body), ask_.echo);
 }
 
-void Records::answer(Time now, MemberId from, std::uint32_t echo, const RecordAsk& asked) {
+void Records::answer(Time now, MemberId from, std::uint32_t echo, const DigestRequest& asked) {
   const unsigned theirs = asked.salt >> kLevelShift;
-  const bool whole = asked.room > 0 && !asked.digests.empty() && (echo & kAnswerEcho) != 0 &&
-                     theirs <= kMostLevel;
+  const bool whole = asked.max_datagrams > 0 && !asked.digests.empty() &&
+                     (echo & kAnswerEcho) != 0 && theirs <= kMostLevel;
   if (!whole) {
     ++figures_.odd;
     return;
@@ -260,11 +261,12 @@
   const double rate = kAnswersPerPull * terms_.pull_per_s;
   answer_tokens_ = std::min(
       rate, answer_tokens_ + rate * seconds(now - std::exchange(answers_filled_, now)));
-  const auto may = std::min<std::size_t>(asked.room, static_cast<std::size_t>(answer_tokens_));
+  const auto may = std::min<std::size_t>(asked.max_datagrams,
+                                         static_cast<std::size_t>(answer_tokens_));
   if (may == 0) return;
   const auto section = asked.salt & ((1U << theirs) - 1);
   const auto records = table_.differing(theirs, section, asked.digests, salt_of(asked.salt, echo));
-  std::vector<RecordTell> parts;
+  std::vector<RecordUpdate> parts;
   std::size_t used = room(), told = 0;
   for (const auto& r : records) {
     if (used + record_bytes(r) > room()) {
--- a/src/fleet/records_table.cpp
+++ b/src/fleet/records_table.cpp
@@ -20,7 +20,7 @@
   for (const std::uint64_t part :
        {r.version.epoch,
         static_cast<std::uint64_t>(r.version.sequence) << 16U | index_of(r.version.origin),
-        static_cast<std::uint64_t>(r.ends) << 1U | static_cast<std::uint64_t>(r.deleted)})
+        static_cast<std::uint64_t>(r.expiry_unix_s) << 1U | static_cast<std::uint64_t>(r.deleted)})
     h = mix_hash(h + part);
   for (const char c : r.value) h = mix_hash(h + static_cast<std::uint8_t>(c) + 1);
   return h;
@@ -37,7 +37,7 @@
 Record merged(const Record& a, const Record& b) {
   const auto rank = [](const Record& r) { return std::tie(r.version, r.deleted, r.value); };
   Record greater = rank(a) < rank(b) ? b : a;
-  greater.ends = std::max(a.ends, b.ends);
+  greater.expiry_unix_s = std::max(a.expiry_unix_s, b.expiry_unix_s);
   return greater;
 }
 
@@ -50,8 +50,8 @@
   const bool there = space < bounds_.spaces ||
                      (space == kMarkSpace && r.key.number < bounds_.spaces);
   if (!there) return Took::no_space;
-  if (over(now, r.ends)) return Took::ended;
-  if (end_of(r.ends) > now.time_since_epoch() + bounds_.clocks + bounds_.most_life)
+  if (over(now, r.expiry_unix_s)) return Took::ended;
+  if (end_of(r.expiry_unix_s) > now.time_since_epoch() + bounds_.clocks + bounds_.most_life)
     return Took::far;
   const auto* known = find(r.key);
   if (known && merged(*known, r) == *known) return Took::held;
@@ -73,7 +73,7 @@
     h.record = r, h.place = place_of(r.key);
     ++size.records;
   } else {
-    ends_.erase({h.record.ends, r.key});
+    ends_.erase({h.record.expiry_unix_s, r.key});
     size.bytes -= record_bytes(h.record);
     auto both = merged(h.record, r);
     if (both.version != h.record.version) h.before = h.record.version, h.before_hash = h.hash;
@@ -81,7 +81,7 @@
   }
   h.hash = hash_of(h.record);
   size.bytes += record_bytes(h.record);
-  ends_.emplace(h.record.ends, r.key);
+  ends_.emplace(h.record.expiry_unix_s, r.key);
   return took;
 }
 
@@ -115,7 +115,7 @@
   return records;
 }
 
-std::uint64_t RecordTable::digest(std::uint8_t space, const Version& upto) const {
+std::uint64_t RecordTable::digest(std::uint8_t space, const RecordVersion& upto) const {
   std::uint64_t sum = 0;
   for (auto it = held_.lower_bound({space, 0}); it != held_.end() && it->first.space == space;
        ++it) {
--- a/src/fleet/records_table.hpp
+++ b/src/fleet/records_table.hpp
@@ -68,7 +68,7 @@
   // Digest of a space as it stood when its one writer had come as far as `upto`; what was written
   // over since counts as it was. Equal to the writer's own: all that it held then is held here, or
   // was.
-  std::uint64_t digest(std::uint8_t space, const Version& upto) const;
+  std::uint64_t digest(std::uint8_t space, const RecordVersion& upto) const;
   // Digests of a section of all records but marks: those whose hash ends in `section` of 2^level.
   std::vector<std::uint16_t> digests(unsigned level, std::uint32_t section, std::size_t buckets,
                                      std::uint64_t salt) const;
@@ -82,7 +82,7 @@
     Record record;
     std::uint64_t place = 0, hash = 0;  // of the key; of the whole
     // What it was before, for digest().
-    Version before{};
+    RecordVersion before{};
     std::uint64_t before_hash = 0;
   };
   struct Size {
--- a/src/fleet/shadow_keeper.cpp
+++ b/src/fleet/shadow_keeper.cpp
@@ -196,7 +196,7 @@
   std::string bytes{static_cast<char>(level),
                     static_cast<char>(static_cast<std::uint8_t>(to.life >> 8U)),
                     static_cast<char>(static_cast<std::uint8_t>(to.life))};
-  bytes += encode_sums(version_, sums, sent, kMostValue - kWordHead);
+  bytes += encode_sums(version_, sums, sent, kMaxRecordValueBytes - kWordHead);
   for (const auto& [shard, o] : batch) {
     if (shard < sums.front().first || shard > sums[sent - 1].first) continue;
     if (o->rounds_left > 0) --o->rounds_left;
@@ -246,7 +246,7 @@
   if (static_cast<double>(taken_.size()) + 1 > terms_.in_per_s) return ++figures_.dropped, false;
   taken_.push_back(now);
   const auto refused = [&] { return ++figures_.refused, false; };
-  if (bytes.size() < kWordHead || bytes.size() > kMostValue || from.node == self_.node)
+  if (bytes.size() < kWordHead || bytes.size() > kMaxRecordValueBytes || from.node == self_.node)
     return refused();
   const auto level = static_cast<Level>(bytes[0]);
   const auto life = static_cast<std::uint16_t>(static_cast<std::uint8_t>(bytes[1]) << 8U |
--- a/src/fleet/shadow_sums.cpp
+++ b/src/fleet/shadow_sums.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kMask = (kNumbers + 7) /
                               8;  // bytes that tell which numbers are there: those that aren't 0
 constexpr std::size_t kMostNumber = 5;  // bytes
-static_assert(kHead + 1 + kMask + kNumbers * kMostNumber <= kMostValue);
+static_assert(kHead + 1 + kMask + kNumbers * kMostNumber <= kMaxRecordValueBytes);
 constexpr unsigned kPart = 7;  // bits of a number in each of its bytes
 constexpr std::uint8_t kMore = 0x80;
 
--- a/src/fleet/shadow_sums.hpp
+++ b/src/fleet/shadow_sums.hpp
@@ -59,7 +59,7 @@
 // As many of the sums as fit into `room` bytes, beginning at `from`, which is moved behind them.
 // One always fits into kMostValue.
 std::string encode_sums(std::uint32_t version, std::span<const ShardSum> sums, std::size_t& from,
-                        std::size_t room = kMostValue);
+                        std::size_t room = kMaxRecordValueBytes);
 // None for anything that encode_sums doesn't write.
 std::optional<Sums> decode_sums(std::string_view bytes);
 
--- a/src/node/cluster_state.cpp
+++ b/src/node/cluster_state.cpp
@@ -70,7 +70,7 @@
   // As the datagrams that would tell of them, one each.
   for (const auto& r : s.records)
     records.push_back(
-        hex_of(fleet::encode({{MemberId(0), 1, 1, 0, 0, 0}, fleet::RecordTell{{r}}}, {})));
+        hex_of(fleet::encode({{MemberId(0), 1, 1, 0, 0, 0}, fleet::RecordUpdate{{r}}}, {})));
   for (const auto& f : s.fresh) fresh.push_back({f.space, ns(f.at)});
   for (const auto& w : s.written) written.push_back({w.space, w.epoch, w.sequence});
   return {{"records", std::move(records)},
@@ -84,8 +84,8 @@
     const auto bytes = bytes_of(r.get<std::string>());
     auto read = fleet::decode({reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()},
                               {});
-    auto* tell = std::get_if<fleet::RecordTell>(&read.message.body);
-    if (read.fault != fleet::Fault::none || tell == nullptr || tell->records.size() != 1)
+    auto* tell = std::get_if<fleet::RecordUpdate>(&read.message.body);
+    if (read.error != fleet::DecodeError::none || tell == nullptr || tell->records.size() != 1)
       throw std::runtime_error("a record that can't be read");
     s.records.push_back(std::move(tell->records.front()));
   }
@@ -138,7 +138,7 @@
   run();
 }
 
-void ClusterState::on_view_changed(const fleet::View& view) {
+void ClusterState::on_view_changed(const fleet::MembershipView& view) {
   const Time now = timers_.now();
   for (auto& k : duties_) k.duty.view(now, view);
   records_->view(now, view);
@@ -148,9 +148,9 @@
 void ClusterState::on_message(MemberId from, const fleet::Message& message) {
   if (!started_) return;
   const Time now = timers_.now();
-  if (const auto* tell = std::get_if<fleet::DutyTell>(&message.body)) {
-    for (const auto& word : tell->words)
-      if (const auto* at = find_or_null(by_hash_, word.duty))
+  if (const auto* tell = std::get_if<fleet::LeaseAnnouncement>(&message.body)) {
+    for (const auto& word : tell->entries)
+      if (const auto* at = find_or_null(by_hash_, word.lease_id))
         duties_[*at].duty.heard(now, from, word);
   } else {
     records_->received(now, from, message);
@@ -245,7 +245,8 @@
 void ClusterState::carry(std::size_t duty) {
   auto& d = duties_[duty].duty;
   for (const auto& call : d.take_calls()) write(duty, call);
-  for (auto& w : d.take_words()) callbacks_.send_datagram(w.to, fleet::DutyTell{{w.word}}, 0);
+  for (auto& w : d.take_words())
+    callbacks_.send_datagram(w.to, fleet::LeaseAnnouncement{{w.word}}, 0);
 }
 
 // A call waits for those for quotas, but no longer than would cost its term: they go on for ever on
--- a/src/node/cluster_state.hpp
+++ b/src/node/cluster_state.hpp
@@ -52,7 +52,7 @@
   // can't be read.
   void start(const nlohmann::json* predecessor);
   bool started() const { return started_; }
-  void on_view_changed(const fleet::View& view);
+  void on_view_changed(const fleet::MembershipView& view);
   // A datagram of a kind that is not members' own.
   void on_message(fleet::MemberId from, const fleet::Message& message);
   // This node leaves: what it holds is given on. `resigned` once nothing is left to give.
--- a/src/node/coordination.hpp
+++ b/src/node/coordination.hpp
@@ -40,7 +40,7 @@
 
   // With what leave() of a predecessor gave; what can't be read of it is left out, and said.
   void start(const nlohmann::json* predecessor);
-  void on_view_changed(const fleet::View& view) { cluster_state_.on_view_changed(view); }
+  void on_view_changed(const fleet::MembershipView& view) { cluster_state_.on_view_changed(view); }
   void on_message(fleet::MemberId from, const fleet::Message& message) {
     cluster_state_.on_message(from, message);
   }
--- a/src/node/gossip_transport.cpp
+++ b/src/node/gossip_transport.cpp
@@ -13,12 +13,12 @@
 
 }  // namespace
 
-nlohmann::json to_json(const fleet::Self& s) {
-  return {{"life", s.life}, {"incarnation", s.incarnation}};
+nlohmann::json to_json(const fleet::LocalMember& s) {
+  return {{"life", s.instance_id}, {"incarnation", s.incarnation}};
 }
 
-fleet::Self self_of(const nlohmann::json& j, fleet::Self self) {
-  self.life = j.at("life").get<std::uint16_t>();
+fleet::LocalMember self_of(const nlohmann::json& j, fleet::LocalMember self) {
+  self.instance_id = j.at("life").get<std::uint16_t>();
   self.incarnation = j.at("incarnation").get<std::uint32_t>();
   if (self.incarnation == 0) throw std::runtime_error("a member without an incarnation");
   return self;
@@ -34,14 +34,14 @@
   fleet::validate(config_.terms);
   self_.id = fleet::MemberId(static_cast<std::uint16_t>(config_.index));
   self_.zone = config_.zone;
-  self_.life = static_cast<std::uint16_t>(mix_hash(seed_));
+  self_.instance_id = static_cast<std::uint16_t>(mix_hash(seed_));
   for (std::size_t i = 0; i < config_.addresses.size(); ++i)
     known_.emplace(config_.addresses[i], fleet::MemberId(static_cast<std::uint16_t>(i)));
 }
 
 GossipTransport::~GossipTransport() { stop(); }
 
-void GossipTransport::start(const std::optional<fleet::Self>& predecessor) {
+void GossipTransport::start(const std::optional<fleet::LocalMember>& predecessor) {
   if (started()) return;
   socket_.open(config_.listen.protocol());
   socket_.set_option(asio::socket_base::reuse_address(true));
@@ -57,7 +57,7 @@
     self_ = *predecessor;
   else if (members_)
     self_ = members_->self();  // it goes on after a successor that has ended
-  members_ = std::make_unique<fleet::Members>(config_.terms, self_, seed_);
+  members_ = std::make_unique<fleet::Membership>(config_.terms, self_, seed_);
   told_version_ = 0;
   members_->start(timers_.now());
   receive();
@@ -104,17 +104,17 @@
 
 void GossipTransport::took(std::size_t bytes) {
   const auto it = known_.find(sender_);
-  if (it == known_.end()) return members_->stranger();
-  if (const auto other = members_->received(timers_.now(), it->second, {space_.data(), bytes}))
+  if (it == known_.end()) return members_->count_unknown_sender();
+  if (const auto other = members_->receive(timers_.now(), it->second, {space_.data(), bytes}))
     callbacks_.on_message(it->second, *other);
 }
 
 void GossipTransport::send(fleet::MemberId to, fleet::Body body, std::uint32_t echo) {
   if (started() && fleet::index_of(to) < config_.addresses.size())
-    write(members_->sealed(to, std::move(body), echo));
+    write(members_->seal(to, std::move(body), echo));
 }
 
-void GossipTransport::write(const fleet::Members::Datagram& d) {
+void GossipTransport::write(const fleet::Membership::Datagram& d) {
   error_code failed;
   socket_.send_to(asio::buffer(d.bytes), config_.addresses[fleet::index_of(d.to)], 0, failed);
   if (failed) ++unsent_;
@@ -122,43 +122,44 @@
 
 void GossipTransport::tick() {
   drain();
-  if (const Time now = timers_.now(); members_->next() <= now) members_->tick(now);
+  if (const Time now = timers_.now(); members_->next_tick_time() <= now) members_->tick(now);
   act();
 }
 
 void GossipTransport::act() {
-  for (const auto& d : members_->take_datagrams()) write(d);
-  for (const auto& v : members_->take_verdicts()) tell(v);
+  for (const auto& d : members_->drain_datagrams()) write(d);
+  for (const auto& v : members_->drain_status_changes()) tell(v);
   timers_.cancel(due_);
-  due_ = timers_.at(members_->next(), [this] {
+  due_ = timers_.at(members_->next_tick_time(), [this] {
     due_.reset();
     tick();
   });
-  const auto standing = members_->standing(timers_.now());
+  const auto standing = members_->reachability(timers_.now());
   const bool moved = std::exchange(standing_, standing) != standing;
-  if (members_->changes() == told_version_ && !moved) return;
-  told_version_ = members_->changes();
+  if (members_->view_version() == told_version_ && !moved) return;
+  told_version_ = members_->view_version();
   const auto v = view();
   if (moved)
-    log::warning("members", std::string("this node reaches ") + fleet::name_of(v->standing),
+    log::warning("members", std::string("this node reaches ") + fleet::name_of(v->reachability),
                  {{"living", std::to_string(v->living)}, {"failed", std::to_string(v->failed)}});
-  if (const bool c = members_->conflicted(timers_.now()); std::exchange(conflicted_, c) != c && c)
+  if (const bool c = members_->has_id_conflict(timers_.now());
+      std::exchange(conflicted_, c) != c && c)
     log::warning("members", "another process goes by this node's name");
   callbacks_.on_view_changed(*v);
 }
 
-void GossipTransport::tell(const fleet::Verdict& v) {
-  const auto who = std::to_string(fleet::index_of(v.about));
+void GossipTransport::tell(const fleet::StatusChange& v) {
+  const auto who = std::to_string(fleet::index_of(v.member));
   const auto incarnation = std::to_string(v.incarnation);
-  switch (v.rank) {
-    case fleet::Rank::suspect:
+  switch (v.status) {
+    case fleet::MemberStatus::suspect:
       return log::info("members", "member " + who + " is suspect", {{"incarnation", incarnation}});
-    case fleet::Rank::failed:
+    case fleet::MemberStatus::failed:
       return log::warning("members", "member " + who + " has failed",
                           {{"incarnation", incarnation}});
-    case fleet::Rank::left:
+    case fleet::MemberStatus::left:
       return log::info("members", "member " + who + " has left", {{"incarnation", incarnation}});
-    case fleet::Rank::alive:
+    case fleet::MemberStatus::alive:
       return log::info("members", "member " + who + (v.returned ? " is back" : " is there"),
                        {{"incarnation", incarnation}});
   }
@@ -171,15 +172,15 @@
     return static_cast<double>(static_cast<std::int64_t>(s * 1e3)) / 1e3;
   };
   nlohmann::json members = nlohmann::json::array(), zones = nlohmann::json::array();
-  for (std::size_t i = 0; i < v->seats->size(); ++i) {
-    const auto& s = (*v->seats)[i];
+  for (std::size_t i = 0; i < v->members->size(); ++i) {
+    const auto& s = (*v->members)[i];
     nlohmann::json m = {{"number", i},
-                        {"state", s.state.known() ? fleet::name_of(s.state.rank) : "unknown"}};
+                        {"state", s.state.known() ? fleet::name_of(s.state.status) : "unknown"}};
     if (s.state.known()) {
       m["incarnation"] = s.state.incarnation;
       m["zone"] = s.zone < config_.zones.size() ? config_.zones[s.zone] : std::to_string(s.zone);
       m["since_s"] = rounded(ago(now, s.since));
-      if (!s.settled) m["settled"] = false;
+      if (!s.stable) m["settled"] = false;
     }
     members.push_back(std::move(m));
   }
@@ -187,19 +188,19 @@
     zones.push_back({{"zone", z < config_.zones.size() ? config_.zones[z] : std::to_string(z)},
                      {"known", v->zones[z].known},
                      {"living", v->zones[z].living},
-                     {"heard_s", rounded(ago(now, v->zones[z].heard))}});
+                     {"heard_s", rounded(ago(now, v->zones[z].last_heard))}});
   return {{"self", config_.index},
           {"incarnation", members_->self().incarnation},
-          {"standing", fleet::name_of(v->standing)},
+          {"standing", fleet::name_of(v->reachability)},
           {"version", v->version},
           {"age_s", rounded(ago(now, v->since))},
-          {"stale_s", rounded(seconds(v->stale(now)))},
+          {"stale_s", rounded(seconds(v->staleness(now)))},
           {"living", v->living},
           {"suspect", v->suspects},
           {"failed", v->failed},
           {"left", v->left},
           {"unknown", v->unknown},
-          {"health", stats().health},
+          {"health", stats().local_health},
           {"zones", std::move(zones)},
           {"members", std::move(members)}};
 }
--- a/src/node/gossip_transport.hpp
+++ b/src/node/gossip_transport.hpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/members.hpp"
+#include "fleet/membership.hpp"
 #include "net.hpp"
 
 namespace petrelrail {
@@ -22,7 +22,7 @@
 struct GossipConfig {
   Udp::endpoint listen;
   std::vector<Udp::endpoint> addresses;  // of every node by its number, this one's included
-  fleet::Terms terms;
+  fleet::MembershipConfig terms;
   std::uint8_t zone = 0;
   std::vector<std::string> zones;  // names, by number
   std::uint32_t index = 0;
@@ -31,14 +31,14 @@
 };
 
 // What a successor needs to be the same member, as it passes between two processes.
-nlohmann::json to_json(const fleet::Self& s);
+nlohmann::json to_json(const fleet::LocalMember& s);
 // Throws if it can't be read.
-fleet::Self self_of(const nlohmann::json& j, fleet::Self self);
+fleet::LocalMember self_of(const nlohmann::json& j, fleet::LocalMember self);
 
 class GossipTransport {
  public:
   struct Callbacks {
-    virtual void on_view_changed(const fleet::View& view) = 0;
+    virtual void on_view_changed(const fleet::MembershipView& view) = 0;
     // A datagram of a kind that is not members' own.
     virtual void on_message(fleet::MemberId from, const fleet::Message& message) {
       static_cast<void>(from), static_cast<void>(message);
@@ -56,7 +56,7 @@
 
   // Binds the address: throws boost::system::system_error where that can't be. With the state of a
   // predecessor, if there is one, whose member this process goes on being.
-  void start(const std::optional<fleet::Self>& predecessor);
+  void start(const std::optional<fleet::LocalMember>& predecessor);
   // Says that this node leaves; it goes on telling until the process ends.
   void leave();
   // Sends what another part has to say, if the socket is open.
@@ -65,9 +65,11 @@
   void stop();
   bool started() const { return socket_.is_open(); }
 
-  fleet::Self self() const { return members_ ? members_->self() : self_; }
-  std::shared_ptr<const fleet::View> view() const { return members_->view(timers_.now()); }
-  const fleet::Members::Figures& stats() const { return members_->figures(); }
+  fleet::LocalMember self() const { return members_ ? members_->self() : self_; }
+  std::shared_ptr<const fleet::MembershipView> view() const {
+    return members_->view(timers_.now());
+  }
+  const fleet::Membership::Stats& stats() const { return members_->stats(); }
   // The view for the operators.
   nlohmann::json to_json() const;
   std::uint64_t unsent() const { return unsent_; }
@@ -78,22 +80,22 @@
   void took(std::size_t bytes);
   void tick();
   void act();
-  void tell(const fleet::Verdict& v);
-  void write(const fleet::Members::Datagram& d);
+  void tell(const fleet::StatusChange& v);
+  void write(const fleet::Membership::Datagram& d);
 
   Timers& timers_;
   const GossipConfig config_;
   Callbacks& callbacks_;
-  fleet::Self self_;
+  fleet::LocalMember self_;
   std::uint64_t seed_;
-  std::unique_ptr<fleet::Members> members_;  // none: not started yet
+  std::unique_ptr<fleet::Membership> members_;  // none: not started yet
   std::map<Udp::endpoint, fleet::MemberId> known_;
   asio::basic_datagram_socket<Udp, Executor> socket_;
-  std::array<std::uint8_t, 2 * fleet::kMostBytes> space_{};
+  std::array<std::uint8_t, 2 * fleet::kMaxDatagramBytes> space_{};
   Udp::endpoint sender_;
   Timers::Handle due_;
   std::uint64_t told_version_ = 0, unsent_ = 0;
-  fleet::Standing standing_ = fleet::Standing::majority;
+  fleet::Reachability standing_ = fleet::Reachability::majority;
   bool conflicted_ = false;
 };
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -50,7 +50,7 @@
   t.shared.records.term = t.shared.duties.term();
   t.shared.records.spaces = facts::kRecordSpaces;
   t.shared.records.sealed = peers.terms.key.has_value();
-  const double others = peers.terms.in_per_s * facts::kOthersShare;
+  const double others = peers.terms.inbox_per_s * facts::kOthersShare;
   t.shared.records.news_per_s = others * facts::kNewsShare;
   t.shared.records.pull_per_s = std::max(others * facts::kPullShare, 1.0);
   try {
@@ -130,7 +130,7 @@
                                        const reading::NamedSettings& named,
                                        const std::string& words) {
   auto use = members_words(words, "--members");
-  std::optional<fleet::Key> key;
+  std::optional<fleet::SealKey> key;
   if (const auto* m = optional_field(config, "members")) {
     object_of(*m, "members");
     if (const auto* on = optional_field(*m, "use"))
@@ -153,14 +153,14 @@
   if (p.addresses.size() != s.fleet_size)
     fail_field("peers", "an address for each node of the settings");
   p.terms.nodes = s.fleet_size;
-  p.terms.in_per_s = number(object_of(field(settings, "extra"), "extra"), "inbox-per-s");
+  p.terms.inbox_per_s = number(object_of(field(settings, "extra"), "extra"), "inbox-per-s");
   p.terms.key = key;
   p.index = s.gateway_index;
   p.paces = use.pace;
   p.jobs = use.jobs;
   p.zones.resize(named.names.zones.size());
   for (const auto& [name, number] : named.names.zones) p.zones.at(number) = name;
-  if (p.zones.size() > fleet::kZones) fail_field("zones", "a list that members can tell");
+  if (p.zones.size() > fleet::kMaxZones) fail_field("zones", "a list that members can tell");
   p.zone = static_cast<std::uint8_t>(s.zone);
   try {
     fleet::validate(p.terms);
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -78,11 +78,11 @@
   out.labelled("members", "state", "failed", view->failed);
   out.labelled("members", "state", "left", view->left);
   out.labelled("members", "state", "unknown", view->unknown);
-  out.gauge("members_standing", static_cast<std::uint64_t>(view->standing));
+  out.gauge("members_standing", static_cast<std::uint64_t>(view->reachability));
   out.counter("members_view_version", view->version);
   out.gauge("members_view_age_ms", milliseconds(now - view->since));
-  out.gauge("members_view_stale_ms", milliseconds(view->stale(now)));
-  out.gauge("members_health", stats.health);
+  out.gauge("members_view_stale_ms", milliseconds(view->staleness(now)));
+  out.gauge("members_health", stats.local_health);
   out.counter("members_rounds", stats.rounds);
   out.counter("members_probes", stats.probes);
   out.counter("members_probes_failed", stats.probes_failed);
@@ -96,7 +96,8 @@
   out.family("members_drops", "counter");
   for (std::size_t i = 0; i < stats.drops.size(); ++i)
     out.labelled("members_drops", "cause",
-                 fleet::Members::name_of(static_cast<fleet::Members::Drop>(i)), stats.drops[i]);
+                 fleet::Membership::name_of(static_cast<fleet::Membership::DropReason>(i)),
+                 stats.drops[i]);
   out.counter("members_refutations", stats.refutations);
   out.counter("members_suspicions", stats.suspicions);
   out.counter("members_failures", stats.failures);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -515,7 +515,7 @@
 
 // The number of the living may slow or quicken this node's calls. It says nothing of anybody's
 // units.
-void Node::on_view_changed(const fleet::View& view) {
+void Node::on_view_changed(const fleet::MembershipView& view) {
   // One that was never heard of may be there: it has its part until it is known to have failed or
   // left.
   if (config_.gossip->paces) handle_event(FleetView{view.living + view.unknown});
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -98,7 +98,7 @@
   void on_replaced() override;
   void on_peer_message(const nlohmann::json& message) override;
   void on_peer_lost() override;
-  void on_view_changed(const fleet::View& view) override;
+  void on_view_changed(const fleet::MembershipView& view) override;
   void on_message(fleet::MemberId from, const fleet::Message& message) override;
   bool on_admin_request(const AdminServer::AdminRequest& ask,
                         AdminServer::AdminCallback answered) override;
--- a/src/world/duty_explorer.cpp
+++ b/src/world/duty_explorer.cpp
@@ -28,7 +28,7 @@
   std::string name;
   double amount = 0;  // or the total
   std::uint32_t from = 0;
-  fleet::DutyWord word{};
+  fleet::LeaseEntry word{};
   bool operator==(const InFlight&) const = default;
 };
 
@@ -128,11 +128,11 @@
   }
   Time local(const Course& c, std::uint32_t node) const { return c.now + skew(node); }
 
-  fleet::View view() const {
-    fleet::View v;
-    auto seats = std::make_shared<std::vector<fleet::View::Seat>>(bounds_.nodes);
-    for (auto& s : *seats) s.state = {1, fleet::Rank::alive, 0};
-    v.seats = std::move(seats);
+  fleet::MembershipView view() const {
+    fleet::MembershipView v;
+    auto seats = std::make_shared<std::vector<fleet::MembershipView::Member>>(bounds_.nodes);
+    for (auto& s : *seats) s.state = {1, fleet::MemberStatus::alive, 0};
+    v.members = std::move(seats);
     return v;
   }
   Duty duty(std::uint32_t node, std::uint32_t life) const {
@@ -361,7 +361,7 @@
       std::uint64_t one = mix_hash(static_cast<std::uint64_t>(f.kind) * 64 + f.node * 8 + f.from);
       one = mix_hash(one ^ f.number), one = mix_hash(one ^ text_hash(f.name));
       one = mix_hash(one ^ static_cast<std::uint64_t>(f.amount)),
-      one = mix_hash(one ^ f.word.epoch ^ f.word.given);
+      one = mix_hash(one ^ f.word.epoch ^ f.word.transferred);
       flights += one;
     }
     add(flights);
@@ -404,7 +404,8 @@
         if (f.kind == InFlight::Kind::answer)
           return who + " is answered " + std::to_string(static_cast<long>(f.amount));
         return who + " hears of epoch " + std::to_string(f.word.epoch - kTerm * fleet::kGifts) +
-               " by node " + std::to_string(f.from) + (f.word.given ? ", given to it" : "") + again;
+               " by node " + std::to_string(f.from) + (f.word.transferred ? ", given to it" : "") +
+               again;
       }
       case What::timeout: return node + " waits for the counter no more";
       case What::pause: return node + " pauses";
--- a/src/world/duty_fleet.cpp
+++ b/src/world/duty_fleet.cpp
@@ -287,8 +287,8 @@
 
 // What all see who are not cut off: who is gone for so long that they have learned it. A node sees
 // itself in any case.
-const fleet::View& DutyFleet::common() {
-  if (common_at_ == now() && common_.seats) return common_;
+const fleet::MembershipView& DutyFleet::common() {
+  if (common_at_ == now() && common_.members) return common_;
   common_at_ = now();
   std::uint64_t version = 1;
   std::vector<bool> here(size());
@@ -297,23 +297,23 @@
     version = mix_hash(version ^ (here[n] ? n + 1 : 0));
   }
   if (version == common_.version) return common_;
-  auto seats = std::make_shared<std::vector<fleet::View::Seat>>(size());
+  auto seats = std::make_shared<std::vector<fleet::MembershipView::Member>>(size());
   for (std::uint32_t n = 0; n < size(); ++n)
-    (*seats)[n].state = {1, here[n] ? fleet::Rank::alive : fleet::Rank::failed, 0};
-  common_.version = version, common_.seats = std::move(seats);
+    (*seats)[n].state = {1, here[n] ? fleet::MemberStatus::alive : fleet::MemberStatus::failed, 0};
+  common_.version = version, common_.members = std::move(seats);
   return common_;
 }
 
 void DutyFleet::show(Process& p) {
-  fleet::View view;
+  fleet::MembershipView view;
   if (members_) {
-    if (!members_->up(p.node) || members_->members(p.node).changes() + 1 == p.view) return;
+    if (!members_->up(p.node) || members_->members(p.node).view_version() + 1 == p.view) return;
     view = *members_->view(p.node);
-    view.version = members_->members(p.node).changes() + 1;
+    view.version = members_->members(p.node).view_version() + 1;
   } else if (cut_of(p.node).from_peers && now() - gone_since_[p.node] > options_.learns) {
     if (p.view == 0) return;
-    view.standing = fleet::Standing::alone;
-    view.seats = std::make_shared<std::vector<fleet::View::Seat>>(size());
+    view.reachability = fleet::Reachability::alone;
+    view.members = std::make_shared<std::vector<fleet::MembershipView::Member>>(size());
   } else {
     if (common().version == p.view) return;
     view = common();
--- a/src/world/duty_fleet.hpp
+++ b/src/world/duty_fleet.hpp
@@ -116,7 +116,7 @@
   void send(const Process& p, std::size_t duty, const fleet::Duty::Word& word);
   void look();
   void views();
-  const fleet::View& common();
+  const fleet::MembershipView& common();
   void show(Process& p);
   void judge(std::size_t duty);
   void effect(const Process& p, std::size_t duty, fleet::Epoch epoch);
@@ -136,7 +136,7 @@
   std::vector<std::uint64_t> lives_;
   std::vector<Time> gone_since_;  // of each node, without members; max(): it is there
   std::vector<bool> left_;
-  fleet::View common_;
+  fleet::MembershipView common_;
   Time common_at_{};
   std::uint64_t last_id_ = 0;
   std::vector<std::uint64_t> addressed_;  // the process that a node's datagrams come to
--- a/src/world/member_cases.cpp
+++ b/src/world/member_cases.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using fleet::Rank;
+using fleet::MemberStatus;
 
 constexpr Duration kSettle = 10s;  // after a start, before anything is done
 constexpr Duration kMost = 60s;    // for anything to come about
@@ -31,7 +31,7 @@
       : terms_(terms),
         dice_(Dice(mix_hash(terms.seed)).stream("case")),
         fleet_(options(terms),
-               [this](Time at, std::uint32_t by, const fleet::Verdict& v) { saw(at, by, v); }),
+               [this](Time at, std::uint32_t by, const fleet::StatusChange& v) { saw(at, by, v); }),
         shaky_(terms.nodes),
         from_(fleet_.now()) {}
 
@@ -83,13 +83,13 @@
     MemberFleet::Options o;
     o.nodes = t.nodes, o.seed = t.seed;
     o.peers.loss = t.loss, o.peers.in_per_s = t.in_per_s;
-    o.terms.plain = t.plain;
+    o.terms.plain_swim = t.plain;
     return o;
   }
-  void saw(Time at, std::uint32_t, const fleet::Verdict& v) {
-    const auto about = static_cast<std::uint32_t>(v.about);
-    if (v.rank == Rank::suspect) ++suspicions_;
-    if (v.rank != Rank::failed) return;
+  void saw(Time at, std::uint32_t, const fleet::StatusChange& v) {
+    const auto about = static_cast<std::uint32_t>(v.member);
+    if (v.status == MemberStatus::suspect) ++suspicions_;
+    if (v.status != MemberStatus::failed) return;
     if (victim_ == about) figures_.know.push_back(petrelrail::seconds(at - watched_from_));
     if (!fleet_.up(about)) return;
     ++wrong_;
@@ -190,11 +190,13 @@
   const auto edge = 2 * t.nodes / 3;
   p.fleet().cut([edge](std::uint32_t a, std::uint32_t b) { return (a < edge) != (b < edge); });
   p.fleet().run_for(6s);
-  p.values()["small_side_knows"] = p.fleet().view(t.nodes - 1)->standing ==
-                                           fleet::Standing::minority
+  p.values()["small_side_knows"] = p.fleet().view(t.nodes - 1)->reachability ==
+                                           fleet::Reachability::minority
+                                       ? 1
+                                       : 0;
+  p.values()["large_side_knows"] = p.fleet().view(0)->reachability == fleet::Reachability::majority
                                        ? 1
                                        : 0;
-  p.values()["large_side_knows"] = p.fleet().view(0)->standing == fleet::Standing::majority ? 1 : 0;
   p.values()["not_known"] = 2 - p.values()["small_side_knows"] - p.values()["large_side_knows"];
   p.fleet().cut({});
   p.values()["agree_s"] = p.until([&] { return p.fleet().agreed(); });
--- a/src/world/member_fleet.cpp
+++ b/src/world/member_fleet.cpp
@@ -36,18 +36,18 @@
       network_(options_.peers, options_.nodes, dice_.stream("peers")),
       nodes_(options_.nodes) {
   options_.terms.nodes = options_.nodes;
-  options_.terms.in_per_s = options_.peers.in_per_s;
+  options_.terms.inbox_per_s = options_.peers.in_per_s;
 }
 
 void MemberFleet::start(std::uint32_t node) {
   auto& n = nodes_[node];
   const auto seed = dice_.stream("life", mix_hash(node) + ++n.lives).seed();
   n.stalled = false, n.inbox.clear();
-  n.members = std::make_unique<fleet::Members>(
+  n.members = std::make_unique<fleet::Membership>(
       options_.terms,
-      fleet::Self{fleet::MemberId(static_cast<std::uint16_t>(node)),
-                  static_cast<std::uint8_t>(zone(node)), static_cast<std::uint16_t>(seed >> 20U),
-                  1},
+      fleet::LocalMember{fleet::MemberId(static_cast<std::uint16_t>(node)),
+                         static_cast<std::uint8_t>(zone(node)),
+                         static_cast<std::uint16_t>(seed >> 20U), 1},
       seed);
   n.members->start(now());
   after(node);
@@ -76,7 +76,7 @@
   tick(node);
   for (; !n.inbox.empty() && n.members; n.inbox.pop_front()) {
     const auto& [from, bytes] = n.inbox.front();
-    n.members->received(now(), fleet::MemberId(static_cast<std::uint16_t>(from)), bytes_of(bytes));
+    n.members->receive(now(), fleet::MemberId(static_cast<std::uint16_t>(from)), bytes_of(bytes));
   }
   after(node);
 }
@@ -101,15 +101,15 @@
     if (n.inbox.size() < kMostWaiting) n.inbox.emplace_back(from, bytes);
     return;
   }
-  n.members->received(now(), fleet::MemberId(static_cast<std::uint16_t>(from)), bytes_of(bytes));
+  n.members->receive(now(), fleet::MemberId(static_cast<std::uint16_t>(from)), bytes_of(bytes));
   after(to);
 }
 
 // What a node has to say goes out, and its next tick is set.
 void MemberFleet::after(std::uint32_t node) {
   auto& n = nodes_[node];
-  for (const auto& v : n.members->take_verdicts()) watch_(now(), node, v);
-  for (auto& d : n.members->take_datagrams()) {
+  for (const auto& v : n.members->drain_status_changes()) watch_(now(), node, v);
+  for (auto& d : n.members->drain_datagrams()) {
     ++n.traffic.sent;
     n.traffic.bytes += d.bytes.size();
     const auto to = static_cast<std::uint32_t>(d.to);
@@ -117,7 +117,7 @@
     for (const Time when : network_.send(now()))
       agenda_.at(when, [this, node, to, bytes = d.bytes] { arrive(node, to, bytes); });
   }
-  const Time due = n.members->next();
+  const Time due = n.members->next_tick_time();
   if (due >= n.ticks_at && n.ticks_at > now()) return;
   n.ticks_at = due;
   if (due == Time::max()) return;
@@ -131,7 +131,7 @@
 void MemberFleet::tick(std::uint32_t node) {
   auto& n = nodes_[node];
   n.ticks_at = Time::max();
-  if (n.members && n.members->next() <= now()) n.members->tick(now());
+  if (n.members && n.members->next_tick_time() <= now()) n.members->tick(now());
 }
 
 void MemberFleet::run_for(Duration span) { agenda_.run_until(now() + span); }
@@ -145,15 +145,15 @@
   return true;
 }
 
-std::shared_ptr<const fleet::View> MemberFleet::view(std::uint32_t node) const {
+std::shared_ptr<const fleet::MembershipView> MemberFleet::view(std::uint32_t node) const {
   return nodes_[node].members->view(now());
 }
 
 bool MemberFleet::sees_all(std::uint32_t node) const {
   const auto v = view(node);
   for (std::uint32_t i = 0; i < size(); ++i) {
-    const auto& s = (*v->seats)[i].state;
-    const bool living = s.known() && s.rank <= fleet::Rank::suspect;
+    const auto& s = (*v->members)[i].state;
+    const bool living = s.known() && s.status <= fleet::MemberStatus::suspect;
     if (living != up(i)) return false;
     if (living && s.incarnation != members(i).self().incarnation) return false;
   }
--- a/src/world/member_fleet.hpp
+++ b/src/world/member_fleet.hpp
@@ -13,7 +13,7 @@
 
 #include "agenda.hpp"
 #include "dice.hpp"
-#include "fleet/members.hpp"
+#include "fleet/membership.hpp"
 #include "peers.hpp"
 
 namespace petrelrail::world {
@@ -23,14 +23,14 @@
   struct Options {
     std::uint32_t nodes = 300, zones = 3;
     PeerTerms peers{};
-    fleet::Terms terms{};  // `nodes` and `in_per_s` follow from the above
+    fleet::MembershipConfig terms{};  // `nodes` and `in_per_s` follow from the above
     std::uint64_t seed = 1;
   };
   // Told as a node concludes it: by whom and what.
-  using Watch = std::function<void(Time, std::uint32_t observer, const fleet::Verdict&)>;
+  using Watch = std::function<void(Time, std::uint32_t observer, const fleet::StatusChange&)>;
 
   explicit MemberFleet(
-      Options options, Watch watch = [](Time, std::uint32_t, const fleet::Verdict&) {});
+      Options options, Watch watch = [](Time, std::uint32_t, const fleet::StatusChange&) {});
 
   std::uint32_t size() const { return options_.nodes; }
   std::uint32_t zone(std::uint32_t node) const { return node % options_.zones; }
@@ -63,8 +63,8 @@
   bool run_until(const std::function<bool()>& holds, Duration most,
                  Duration step = std::chrono::milliseconds(50));
 
-  const fleet::Members& members(std::uint32_t node) const { return *nodes_[node].members; }
-  std::shared_ptr<const fleet::View> view(std::uint32_t node) const;
+  const fleet::Membership& members(std::uint32_t node) const { return *nodes_[node].members; }
+  std::shared_ptr<const fleet::MembershipView> view(std::uint32_t node) const;
   // Whether every node that is up holds just those for living that are up, all with the same
   // incarnations.
   bool agreed() const;
@@ -87,7 +87,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<fleet::Members> members;
+    std::unique_ptr<fleet::Membership> members;
     std::uint64_t lives = 0;
     bool stalled = false;
     std::deque<std::pair<std::uint32_t, std::string>> inbox;  // while it is stalled
--- a/src/world/model.cpp
+++ b/src/world/model.cpp
@@ -6,7 +6,7 @@
 #include "common/hash.hpp"
 #include "common/time_math.hpp"
 #include "configuration.hpp"
-#include "fleet/members.hpp"
+#include "fleet/membership.hpp"
 #include "node/facts.hpp"
 
 namespace petrelrail::world {
@@ -131,19 +131,19 @@
   }
 
   // As src/node/peers: the member of this node, with the state of a predecessor if there is one.
-  void join(const std::optional<fleet::Self>& predecessor) {
+  void join(const std::optional<fleet::LocalMember>& predecessor) {
     const auto& s = model_.scenario_;
     if (s.fleet.members == "off" || s.fleet.nodes < 2) return;
-    fleet::Self self{fleet::MemberId(static_cast<std::uint16_t>(node_)),
-                     static_cast<std::uint8_t>(settings_.zone),
-                     static_cast<std::uint16_t>(mix_hash(dice_.seed())), 1};
-    fleet::Terms terms;
-    terms.nodes = s.fleet.nodes, terms.in_per_s = s.peers.in_per_s;
-    members_ = std::make_unique<fleet::Members>(terms, predecessor.value_or(self), dice_.seed());
+    fleet::LocalMember self{fleet::MemberId(static_cast<std::uint16_t>(node_)),
+                            static_cast<std::uint8_t>(settings_.zone),
+                            static_cast<std::uint16_t>(mix_hash(dice_.seed())), 1};
+    fleet::MembershipConfig terms;
+    terms.nodes = s.fleet.nodes, terms.inbox_per_s = s.peers.in_per_s;
+    members_ = std::make_unique<fleet::Membership>(terms, predecessor.value_or(self), dice_.seed());
     members_->start(model_.agenda_.now());
     act();
   }
-  std::optional<fleet::Self> leave_member() {
+  std::optional<fleet::LocalMember> leave_member() {
     if (!members_) return std::nullopt;
     const auto self = members_->self();
     members_.reset();
@@ -151,8 +151,8 @@
   }
   void peer_said(std::uint32_t from, const std::string& payload) {
     if (!members_ || ended_) return;
-    members_->received(model_.agenda_.now(), fleet::MemberId(static_cast<std::uint16_t>(from)),
-                       {reinterpret_cast<const std::uint8_t*>(payload.data()), payload.size()});
+    members_->receive(model_.agenda_.now(), fleet::MemberId(static_cast<std::uint16_t>(from)),
+                      {reinterpret_cast<const std::uint8_t*>(payload.data()), payload.size()});
     act();
   }
   void leaves() {
@@ -160,7 +160,7 @@
     members_->leave(model_.agenda_.now());
     act();
   }
-  const fleet::Members* members() const { return members_.get(); }
+  const fleet::Membership* members() const { return members_.get(); }
 
   void retune(std::uint32_t max_attempts) {
     auto next = std::make_shared<Settings>(
@@ -223,14 +223,14 @@
   // What the member has to say goes out, and it is ticked when it asks to be.
   void act() {
     const Time now = model_.agenda_.now();
-    for (auto& d : members_->take_datagrams())
+    for (auto& d : members_->drain_datagrams())
       model_.world_->datagram(node_, static_cast<std::uint32_t>(d.to), std::move(d.bytes));
-    for (const auto& v : members_->take_verdicts())
-      model_.logged_(
-          now, node_,
-          "member " + std::to_string(fleet::index_of(v.about)) + " is " + fleet::name_of(v.rank));
-    if (members_->next() != ticks_at_ && members_->next() != Time::max()) {
-      ticks_at_ = members_->next();
+    for (const auto& v : members_->drain_status_changes())
+      model_.logged_(now, node_,
+                     "member " + std::to_string(fleet::index_of(v.member)) + " is " +
+                         fleet::name_of(v.status));
+    if (members_->next_tick_time() != ticks_at_ && members_->next_tick_time() != Time::max()) {
+      ticks_at_ = members_->next_tick_time();
       later(std::max(ticks_at_ - now, Duration{}), [due = ticks_at_](Process& p) {
         if (!p.members_ || p.ticks_at_ != due) return;
         p.ticks_at_ = Time{};
@@ -238,8 +238,9 @@
         p.act();
       });
     }
-    if (model_.scenario_.fleet.members != "pace" || members_->changes() == told_version_) return;
-    told_version_ = members_->changes();
+    if (model_.scenario_.fleet.members != "pace" || members_->view_version() == told_version_)
+      return;
+    told_version_ = members_->view_version();
     const auto view = members_->view(now);
     happened(FleetView{view->living + view->unknown});
   }
@@ -440,7 +441,7 @@
   std::map<RequestId, Open> open_;
   std::map<std::uint32_t, Pool> pools_;
   std::deque<Event> events_;
-  std::unique_ptr<fleet::Members> members_;
+  std::unique_ptr<fleet::Membership> members_;
   Time ticks_at_{};
   std::uint64_t told_version_ = 0;
   bool telling_ = false, ended_ = false, counter_lost_ = false;
@@ -613,8 +614,8 @@
     const auto v = members->view(agenda_.now());
     bool same = true;
     for (std::uint32_t i = 0; i < nodes_.size(); ++i) {
-      const auto& s = (*v->seats)[i].state;
-      same = same && (s.known() && s.rank <= fleet::Rank::suspect) == world_->node_up(i);
+      const auto& s = (*v->members)[i].state;
+      same = same && (s.known() && s.status <= fleet::MemberStatus::suspect) == world_->node_up(i);
     }
     agree += same ? 1 : 0;
   }
--- a/src/world/record_fleet.cpp
+++ b/src/world/record_fleet.cpp
@@ -77,22 +77,22 @@
   };
   for (std::uint32_t a = 0; a < size(); ++a) {
     if (!up(a)) continue;
-    fleet::View view;
-    auto seats = std::make_shared<std::vector<fleet::View::Seat>>(size());
+    fleet::MembershipView view;
+    auto seats = std::make_shared<std::vector<fleet::MembershipView::Member>>(size());
     std::uint32_t known = 0, there = 0;
     for (std::uint32_t b = 0; b < size(); ++b) {
       auto& s = (*seats)[b];
       if (nodes_[b].lives == 0) continue;
       const bool lives = a == b || sees(a, b);
-      s.state = {1, lives ? fleet::Rank::alive : fleet::Rank::failed, 1};
+      s.state = {1, lives ? fleet::MemberStatus::alive : fleet::MemberStatus::failed, 1};
       s.zone = static_cast<std::uint8_t>(zone(b));
       ++known, there += lives;
     }
     view.living = there;
-    view.standing = 2 * there > known ? fleet::Standing::majority
-                    : there > 1       ? fleet::Standing::minority
-                                      : fleet::Standing::alone;
-    view.seats = std::move(seats);
+    view.reachability = 2 * there > known ? fleet::Reachability::majority
+                        : there > 1       ? fleet::Reachability::minority
+                                          : fleet::Reachability::alone;
+    view.members = std::move(seats);
     nodes_[a].records->view(clock(a), view);
     after(a);
   }
@@ -153,7 +153,7 @@
 void RecordFleet::take(std::uint32_t from, std::uint32_t to, const std::string& bytes) {
   const auto read = fleet::decode(
       {reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()}, {});
-  if (read.fault == fleet::Fault::none)
+  if (read.error == fleet::DecodeError::none)
     nodes_[to].records->received(clock(to), id(from), read.message);
 }
 
--- a/tests/fleet/book_test.cpp
+++ b/tests/fleet/book_test.cpp
@@ -428,7 +428,8 @@
     auto bytes = text;
     for (auto n = 1 + random() % 4; n > 0; --n)
       bytes[random() % bytes.size()] = static_cast<char>(random());
-    if (i % 3 == 0) bytes.resize(random() % (kMostValue + 50), static_cast<char>(random()));
+    if (i % 3 == 0)
+      bytes.resize(random() % (kMaxRecordValueBytes + 50), static_cast<char>(random()));
     try {
       EXPECT_EQ(encode(decode_booking(b.id, bytes)), bytes);
     } catch (const std::invalid_argument&) {}
--- a/tests/fleet/duty_test.cpp
+++ b/tests/fleet/duty_test.cpp
@@ -30,11 +30,11 @@
 Time at(std::uint64_t term, double part) {
   return terms().begins(term) + scaled(terms().term(), part);
 }
-View view_of(std::set<unsigned> living, Standing standing = Standing::majority) {
-  View v;
-  auto seats = std::make_shared<std::vector<View::Seat>>(terms().nodes);
-  for (const unsigned n : living) (*seats)[n].state = {1, Rank::alive, 0};
-  v.seats = std::move(seats), v.standing = standing;
+MembershipView view_of(std::set<unsigned> living, Reachability standing = Reachability::majority) {
+  MembershipView v;
+  auto seats = std::make_shared<std::vector<MembershipView::Member>>(terms().nodes);
+  for (const unsigned n : living) (*seats)[n].state = {1, MemberStatus::alive, 0};
+  v.members = std::move(seats), v.reachability = standing;
   return v;
 }
 const std::set<unsigned> kAll{0, 1, 2, 3, 4, 5, 6, 7};
@@ -219,7 +219,7 @@
   h.mute = true;
   h.to(at(kTerm, 0.1));
   const auto hash = h.duty.hash();
-  for (const auto& [from, word] : std::vector<std::pair<MemberId, DutyWord>>{
+  for (const auto& [from, word] : std::vector<std::pair<MemberId, LeaseEntry>>{
            {id(3), {hash + 1, kTerm * kGifts, id(3), false}},
            {id(3), {hash, (kTerm + 2) * kGifts, id(3), false}},
            {id(3), {hash, (kTerm - 2) * kGifts, id(3), false}},
@@ -240,10 +240,10 @@
   h.to(h.now + 200ms);
   std::vector<Duty::Word> gifts;
   for (const auto& w : h.words)
-    if (w.word.given) gifts.push_back(w);
+    if (w.word.transferred) gifts.push_back(w);
   ASSERT_GE(gifts.size(), 3U);
   const auto heir = gifts[0].to;
-  EXPECT_EQ(gifts[0].word, (DutyWord{h.duty.hash(), kTerm * kGifts + 1, heir, true}));
+  EXPECT_EQ(gifts[0].word, (LeaseEntry{h.duty.hash(), kTerm * kGifts + 1, heir, true}));
   EXPECT_EQ(gifts[0].word, gifts[1].word);
 
   Hand other(static_cast<unsigned>(index_of(heir)), 2);
@@ -255,11 +255,11 @@
   const auto answers = other.duty.take_words();
   const auto answer = std::ranges::find_if(answers, [](const auto& w) { return w.to == id(0); });
   ASSERT_NE(answer, answers.end());
-  EXPECT_FALSE(answer->word.given);
+  EXPECT_FALSE(answer->word.transferred);
   h.duty.heard(h.now, heir, answer->word);
   h.words.clear();
   h.to(at(kTerm + 1, 0.5));
-  EXPECT_TRUE(std::ranges::none_of(h.words, [](const auto& w) { return w.word.given; }));
+  EXPECT_TRUE(std::ranges::none_of(h.words, [](const auto& w) { return w.word.transferred; }));
   EXPECT_TRUE(h.duty.resigned());
   EXPECT_FALSE(h.duty.may_act(h.now));
 }
@@ -312,7 +312,7 @@
 TEST(DutyTest, WhoSeesNoMajorityClaimsLast) {
   Hand h;
   h.holds(kTerm);
-  h.duty.view(h.now, view_of({0, 1}, Standing::minority));
+  h.duty.view(h.now, view_of({0, 1}, Reachability::minority));
   const auto c = h.call_by(at(kTerm + 1, 0));
   EXPECT_GE(h.now, at(kTerm, 0.86));
   EXPECT_GT(c.amount, 0);
--- a/tests/fleet/jobs_test.cpp
+++ b/tests/fleet/jobs_test.cpp
@@ -45,7 +45,7 @@
     ASSERT_FALSE(fault_of(s, kNow)) << *fault_of(s, kNow);
     const auto parts = encode(s);
     EXPECT_LE(parts.size(), std::holds_alternative<JobRange>(s.lines) ? 1U : 1U + kKeyParts);
-    for (const auto& p : parts) EXPECT_LE(p.size(), kMostValue);
+    for (const auto& p : parts) EXPECT_LE(p.size(), kMaxRecordValueBytes);
     EXPECT_EQ(again(parts), s);
   }
   EXPECT_EQ(spec().path_of(3), "/lookup/503?v=2");
--- a/tests/fleet/records_test.cpp
+++ b/tests/fleet/records_test.cpp
@@ -56,7 +56,7 @@
   return [=] {
     auto held = std::make_shared<std::map<RecordKey, Record>>();
     const auto over = [](Time now, const Record& r) {
-      return now >= Time(std::chrono::seconds(r.ends)) + kClocks;
+      return now >= Time(std::chrono::seconds(r.expiry_unix_s)) + kClocks;
     };
     const auto clean = [=](Time now) {
       std::erase_if(*held, [&](const auto& h) {
@@ -82,13 +82,14 @@
 std::vector<Record> of_all_events(const std::vector<Record>& events, Time now) {
   std::map<RecordKey, Record> last;
   for (const auto& e : events) {
-    if (std::chrono::seconds(e.ends) + kClocks <= now.time_since_epoch()) continue;
+    if (std::chrono::seconds(e.expiry_unix_s) + kClocks <= now.time_since_epoch()) continue;
     const auto [it, fresh] = last.emplace(e.key, e);
     if (fresh) continue;
     const auto& h = it->second;
     const auto order = [](const Record& x) {
       const auto& v = x.version;
-      return std::tuple(v.epoch, v.sequence, index_of(v.origin), x.deleted, x.value, x.ends);
+      return std::tuple(v.epoch, v.sequence, index_of(v.origin), x.deleted, x.value,
+                        x.expiry_unix_s);
     };
     const bool later = order(e) > order(h);
     if (later) it->second = e;
@@ -108,7 +109,7 @@
       events, {}, [](const Record& e) { return std::tuple(e.key, e.version, e.deleted, e.value); });
   for (std::size_t i = 1; i < events.size(); ++i)
     if (events[i].key == events[i - 1].key)
-      events[i].ends = std::max(events[i].ends, events[i - 1].ends);
+      events[i].expiry_unix_s = std::max(events[i].expiry_unix_s, events[i - 1].expiry_unix_s);
   std::vector<Replica> replicas;
   for (int i = 0; i < 4; ++i) replicas.push_back(make());
   Time now = kNow - 1s;
@@ -162,7 +163,7 @@
   };
   const auto earlier_end = [](const Record& a, const Record& b) {
     auto m = merged(a, b);
-    m.ends = std::min(a.ends, b.ends);
+    m.expiry_unix_s = std::min(a.expiry_unix_s, b.expiry_unix_s);
     return m;
   };
   const std::pair<const char*, MakeReplica> broken[] = {
@@ -189,7 +190,7 @@
   return (now.time_since_epoch() / t.term) * t.gifts;
 }
 Message tell(std::vector<Record> records, std::uint32_t echo = 0) {
-  return {{id(1), 1, 1, 0, echo, 0}, RecordTell{std::move(records)}};
+  return {{id(1), 1, 1, 0, echo, 0}, RecordUpdate{std::move(records)}};
 }
 
 TEST(Records, TermsThatMakeNoSenseAreNamed) {
@@ -197,13 +198,13 @@
   t.spaces = 0;
   EXPECT_THROW(validate(t), std::invalid_argument);
   EXPECT_THROW(Records(small_terms(), id(1), 0, 1), std::invalid_argument);
-  EXPECT_THROW(Records(small_terms(), id(0), kZones, 1), std::invalid_argument);
+  EXPECT_THROW(Records(small_terms(), id(0), kMaxZones, 1), std::invalid_argument);
 }
 TEST(Records, AWriteBeyondABoundIsTurnedDownWithTheBoundNamed) {
   Records one(small_terms(), id(0), 0, 1);
   one.start(kNow);
   const auto e = epoch_at(kNow, one.terms());
-  EXPECT_EQ(one.put(kNow, {0, 1}, e, kUnix + 9, std::string(kMostValue + 1, 'x')).kind,
+  EXPECT_EQ(one.put(kNow, {0, 1}, e, kUnix + 9, std::string(kMaxRecordValueBytes + 1, 'x')).kind,
             Kind::too_large);
   EXPECT_EQ(one.put(kNow, {2, 1}, e, kUnix + 9, "x").kind, Kind::no_space);
   EXPECT_EQ(one.put(kNow, {kMarkSpace, 1}, e, kUnix + 9, "x").kind, Kind::no_space);
@@ -217,9 +218,11 @@
   EXPECT_EQ(one.put(kNow, {0, 21}, e, kUnix + 9, "x").kind, Kind::full);
   EXPECT_EQ(one.put(kNow, {0, 20}, e, kUnix + 9, "y").kind, Kind::taken);
   for (std::uint64_t n = 1; n <= 8; ++n)
-    EXPECT_EQ(one.put(kNow, {1, n}, e, kUnix + 9, std::string(kMostValue, 'x')).kind, Kind::taken)
+    EXPECT_EQ(one.put(kNow, {1, n}, e, kUnix + 9, std::string(kMaxRecordValueBytes, 'x')).kind,
+              Kind::taken)
         << n;
-  EXPECT_EQ(one.put(kNow, {1, 9}, e, kUnix + 9, std::string(kMostValue, 'x')).kind, Kind::full);
+  EXPECT_EQ(one.put(kNow, {1, 9}, e, kUnix + 9, std::string(kMaxRecordValueBytes, 'x')).kind,
+            Kind::full);
   EXPECT_EQ(one.erase(kNow, {1, 1}, e).kind, Kind::taken);
   EXPECT_EQ(one.find({1, 1}), nullptr);
   EXPECT_EQ(one.find({0, 20})->value, "y");
@@ -274,7 +277,7 @@
   EXPECT_EQ(heir.age(kNow + 5s, 0), 5s + heir.terms().clocks);
   EXPECT_TRUE(heir.caught_up(kNow + 5s));
   heir.put(kNow + 5s, {0, 1}, e, kUnix + 99, "c");
-  EXPECT_EQ(heir.find({0, 1})->version, (Version{e, 3, id(0)}));
+  EXPECT_EQ(heir.find({0, 1})->version, (RecordVersion{e, 3, id(0)}));
 }
 
 // ---- A fleet ------------------------------------------------------------------------------------
@@ -492,7 +495,7 @@
   Message m{{id(1), 1, 1, 0, static_cast<std::uint32_t>(below(r, 2) ? r() : 0), 0}, {}};
   const auto kind = below(r, 3);
   if (kind == 0) {
-    RecordTell t;
+    RecordUpdate t;
     for (auto n = below(r, 4); n > 0; --n) t.records.push_back(any());
     m.body = t;
   } else if (kind == 1) {
@@ -500,7 +503,7 @@
     for (auto n = below(r, 6); n > 0; --n) a.held.push_back({any().key, any().version});
     m.body = a;
   } else {
-    RecordAsk a{static_cast<std::uint16_t>(r()), static_cast<std::uint8_t>(r()), {}};
+    DigestRequest a{static_cast<std::uint16_t>(r()), static_cast<std::uint8_t>(r()), {}};
     for (auto n = below(r, 100); n > 0; --n) a.digests.push_back(static_cast<std::uint16_t>(r()));
     m.body = a;
   }
@@ -513,7 +516,7 @@
   for (int i = 0; i < 20'000; ++i) {
     const auto message = any_message(r, f.records(0).terms().most_epoch(f.clock(0)));
     const auto bytes = encode(message, {});
-    if (bytes.size() <= kMostBytes)
+    if (bytes.size() <= kMaxDatagramBytes)
       f.inject(static_cast<std::uint32_t>(below(r, 8)), static_cast<std::uint32_t>(below(r, 8)),
                message);
     if (i % 10 == 0) f.run_for(20ms);
@@ -521,7 +524,7 @@
   for (std::uint32_t n = 0; n < f.size(); ++n) {
     const auto& was = f.records(n).figures();
     EXPECT_LE(was.records, 2 * 30U + 2);
-    EXPECT_LE(was.bytes, 2 * 3000U + 2 * kMostBytes);
+    EXPECT_LE(was.bytes, 2 * 3000U + 2 * kMaxDatagramBytes);
     EXPECT_GT(was.ahead + was.odd + was.far + was.ended + was.no_space + was.full, 500U);
   }
   // All that was forged has ended, and what is written then is safe and known to all.
--- a/tests/fleet/shadow_test.cpp
+++ b/tests/fleet/shadow_test.cpp
@@ -275,7 +275,7 @@
     std::vector<ShardSum> back;
     for (std::size_t from = 0; from < sums.size();) {
       auto bytes = encode_sums(7, sums, from);
-      ASSERT_LE(bytes.size(), kMostValue);
+      ASSERT_LE(bytes.size(), kMaxRecordValueBytes);
       const auto sound = decode_sums(bytes);
       ASSERT_TRUE(sound);
       EXPECT_EQ(sound->version, 7U);
--- a/tests/fleet/wire_test.cpp
+++ b/tests/fleet/wire_test.cpp
@@ -1,10 +1,9 @@
-// The kinds of datagrams that are not members' own: what is written is read again, and nothing else
-// is.
+// The codec of the datagram kinds that do not belong to Membership.
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "fleet/members.hpp"
+#include "fleet/membership.hpp"
 
 namespace petrelrail::fleet::test {
 namespace {
@@ -18,72 +17,74 @@
   return {{4, number}, {77, 5, id(9)}, 1'800'000'000, false, std::move(value)};
 }
 std::vector<Body> bodies() {
-  auto gone = record(8, "");
-  gone.deleted = true;
-  return {DutyTell{{{1, 16, id(4), false}, {0xFFFFFFFF, ~0ULL, id(65535), true}}},
-          DutyTell{},
-          RecordTell{{record(1, std::string("a\0b", 3)), gone, record(2, "")}},
-          RecordTell{{record(3, std::string(kMostValue, '\xFF'))}},
+  auto tombstone = record(8, "");
+  tombstone.deleted = true;
+  return {LeaseAnnouncement{{{1, 16, id(4), false}, {0xFFFFFFFF, ~0ULL, id(65535), true}}},
+          LeaseAnnouncement{},
+          RecordUpdate{{record(1, std::string("a\0b", 3)), tombstone, record(2, "")}},
+          RecordUpdate{{record(3, std::string(kMaxRecordValueBytes, '\xFF'))}},
           RecordAck{{{{4, 1}, {77, 5, id(9)}}, {{255, ~0ULL}, {~0ULL, ~0U, id(65535)}}}},
-          RecordAsk{513, 7, {1, 2, 65535}}};
+          DigestRequest{513, 7, {1, 2, 65535}}};
 }
 
-TEST(OtherKinds, WhatIsWrittenIsReadAgain) {
+TEST(OtherKinds, EachKindDecodesToWhatWasEncoded) {
   for (const auto& key :
-       {std::optional<Key>{}, std::optional(key_of("000102030405060708090a0b0c0d0e0f"))})
+       {std::optional<SealKey>{}, std::optional(key_of("000102030405060708090a0b0c0d0e0f"))})
     for (const auto& body : bodies()) {
       const auto bytes = encode(message(body), key);
-      ASSERT_LE(bytes.size(), kMostBytes);
+      ASSERT_LE(bytes.size(), kMaxDatagramBytes);
       const auto read = decode(bytes_of(bytes), key);
-      ASSERT_EQ(read.fault, Fault::none);
+      ASSERT_EQ(read.error, DecodeError::none);
       EXPECT_EQ(read.message.body.index(), body.index());
       EXPECT_EQ(encode(read.message, key), bytes);
     }
 }
-TEST(OtherKinds, WhatIsCutShortOrBreaksARuleIsMalformed) {
+TEST(OtherKinds, TruncatedOrInvalidBodiesAreMalformed) {
   for (const auto& body : bodies()) {
     const auto bytes = encode(message(body), {});
-    const auto empty = encode(message(DutyTell{}), {}).size();
+    const auto empty = encode(message(LeaseAnnouncement{}), {}).size();
     for (auto size = empty + 1; size < bytes.size(); ++size) {
       const auto read = decode(bytes_of(bytes.substr(0, size)), {});
-      if (read.fault != Fault::none) continue;
-      // What is left may be whole by itself, with fewer items.
+      if (read.error != DecodeError::none) continue;
+      // The remainder may be a valid body with fewer items.
       EXPECT_EQ(encode(read.message, {}), bytes.substr(0, size));
     }
   }
-  auto bytes = encode(message(DutyTell{{{1, 16, id(4), false}}}), {});
-  bytes.back() = 2;  // given: neither yes nor no
-  EXPECT_EQ(decode(bytes_of(bytes), {}).fault, Fault::malformed);
-  EXPECT_EQ(decode(bytes_of(encode(message(DutyTell{{{1, 0, id(4), false}}}), {})), {}).fault,
-            Fault::malformed);
+  auto bytes = encode(message(LeaseAnnouncement{{{1, 16, id(4), false}}}), {});
+  bytes.back() = 2;  // transferred: neither 0 nor 1
+  EXPECT_EQ(decode(bytes_of(bytes), {}).error, DecodeError::malformed);
+  EXPECT_EQ(
+      decode(bytes_of(encode(message(LeaseAnnouncement{{{1, 0, id(4), false}}}), {})), {}).error,
+      DecodeError::malformed);
 }
-TEST(OtherKinds, WhateverIsReadFromAnyBytesIsWrittenAsItCame) {
+TEST(OtherKinds, WhateverDecodesEncodesToTheSameBytes) {
   std::mt19937_64 random(5);
   for (int i = 0; i < 200'000; ++i) {
     auto bytes = encode(message(bodies()[random() % bodies().size()]), {});
     for (auto n = random() % 4; n > 0; --n)
       bytes[random() % bytes.size()] = static_cast<char>(random());
-    if (random() % 4 == 0) bytes.resize(random() % (kMostBytes + 2), static_cast<char>(random()));
+    if (random() % 4 == 0)
+      bytes.resize(random() % (kMaxDatagramBytes + 2), static_cast<char>(random()));
     const auto read = decode(bytes_of(bytes), {});
-    EXPECT_TRUE(read.fault != Fault::none || encode(read.message, {}) == bytes);
+    EXPECT_TRUE(read.error != DecodeError::none || encode(read.message, {}) == bytes);
   }
 }
-TEST(OtherKinds, AMemberPassesThemOnAndLearnsOfTheirSender) {
-  Terms terms;
+TEST(OtherKinds, MembershipReturnsThemAndLearnsOfTheirSender) {
+  MembershipConfig terms;
   terms.nodes = 5;
-  Members a(terms, {id(0), 0, 7, 1}, 1), b(terms, {id(3), 1, 8, 1}, 2);
+  Membership a(terms, {id(0), 0, 7, 1}, 1), b(terms, {id(3), 1, 8, 1}, 2);
   const Time begin{std::chrono::hours(1)};
   a.start(begin), b.start(begin);
-  const auto sent = b.sealed(id(0), RecordAsk{513, 7, {1, 2}}, 12);
+  const auto sent = b.seal(id(0), DigestRequest{513, 7, {1, 2}}, 12);
   EXPECT_EQ(sent.to, id(0));
-  const auto got = a.received(begin, id(3), bytes_of(sent.bytes));
+  const auto got = a.receive(begin, id(3), bytes_of(sent.bytes));
   ASSERT_TRUE(got);
   EXPECT_EQ(got->header.echo, 12U);
-  EXPECT_EQ(std::get<RecordAsk>(got->body).room, 7);
-  EXPECT_TRUE((*a.view(begin)->seats)[3].state.known());
-  EXPECT_FALSE(a.received(begin, id(2), bytes_of(sent.bytes)))
-      << "it does not come from whom it names";
-  EXPECT_EQ(a.figures().datagrams_in, 2U);
+  EXPECT_EQ(std::get<DigestRequest>(got->body).max_datagrams, 7);
+  EXPECT_TRUE((*a.view(begin)->members)[3].state.known());
+  EXPECT_FALSE(a.receive(begin, id(2), bytes_of(sent.bytes)))
+      << "the source address and the sender in the header differ";
+  EXPECT_EQ(a.stats().datagrams_in, 2U);
 }
 
 }  // namespace
--- a/tests/golden_codec_test.cpp
+++ b/tests/golden_codec_test.cpp
@@ -4,7 +4,7 @@
 
 #include "fleet/booking.hpp"
 #include "fleet/jobs_codec.hpp"
-#include "fleet/members.hpp"
+#include "fleet/membership.hpp"
 #include "fleet/shadow_verdict.hpp"
 #include "golden.hpp"
 #include "hot_restart.hpp"
@@ -61,11 +61,11 @@
   return fleet::MemberId(static_cast<std::uint16_t>(number));
 }
 
-std::vector<fleet::Entry> member_entries() {
-  return {{member(1), {3, fleet::Rank::alive, 77}, 1, {}},
-          {member(2), {4, fleet::Rank::suspect, 0}, 2, {member(5), member(6)}},
-          {member(65535), {5, fleet::Rank::failed, 65535}, 31, {}},
-          {member(4), {6, fleet::Rank::left, 9}, 0, {}}};
+std::vector<fleet::MemberEntry> member_entries() {
+  return {{member(1), {3, fleet::MemberStatus::alive, 77}, 1, {}},
+          {member(2), {4, fleet::MemberStatus::suspect, 0}, 2, {member(5), member(6)}},
+          {member(65535), {5, fleet::MemberStatus::failed, 65535}, 31, {}},
+          {member(4), {6, fleet::MemberStatus::left, 9}, 0, {}}};
 }
 
 fleet::Record record(std::uint64_t number, std::string value, bool deleted = false) {
@@ -77,25 +77,26 @@
       fleet::Ping{member_entries()},
       fleet::Ack{member_entries()},
       fleet::PingRequest{member(8)},
-      fleet::Relayed{member(8), member_entries()},
+      fleet::IndirectAck{member(8), member_entries()},
       fleet::Nack{member(8)},
       fleet::Gossip{member_entries()},
-      fleet::SyncAsk{{1, 2, 65535}},
-      fleet::SyncTell{member_entries()},
-      fleet::DutyTell{{{1, 16, member(4), false}, {0xFFFFFFFF, ~0ULL, member(65535), true}}},
-      fleet::RecordTell{{record(1, std::string("a\0b", 3)), record(8, "", true), record(2, "")}},
+      fleet::SyncRequest{{1, 2, 65535}},
+      fleet::SyncResponse{member_entries()},
+      fleet::LeaseAnnouncement{
+          {{1, 16, member(4), false}, {0xFFFFFFFF, ~0ULL, member(65535), true}}},
+      fleet::RecordUpdate{{record(1, std::string("a\0b", 3)), record(8, "", true), record(2, "")}},
       fleet::RecordAck{{{{4, 1}, {77, 5, member(9)}}, {{255, ~0ULL}, {~0ULL, ~0U, member(65535)}}}},
-      fleet::RecordAsk{513, 7, {1, 2, 65535}}};
+      fleet::DigestRequest{513, 7, {1, 2, 65535}}};
 }
 
-std::string encoded_datagrams(const std::optional<fleet::Key>& key) {
+std::string encoded_datagrams(const std::optional<fleet::SealKey>& key) {
   std::string text;
   for (const auto& body : datagram_bodies())
     text += hex_text(fleet::encode({{member(3), 2, 7, 1, 5, 9}, body}, key)) + "\n";
   return text;
 }
 
-const std::optional<fleet::Key> kSealingKey = fleet::key_of("000102030405060708090a0b0c0d0e0f");
+const std::optional<fleet::SealKey> kSealingKey = fleet::key_of("000102030405060708090a0b0c0d0e0f");
 
 TEST(GoldenDatagrams, OfEachKindAreWrittenAsBefore) {
   ASSERT_EQ(datagram_bodies().size(), std::variant_size_v<fleet::Body>);
@@ -117,7 +118,7 @@
     const auto bytes = bytes_of(line);
     const auto read = fleet::decode(
         {reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()}, kSealingKey);
-    ASSERT_EQ(read.fault, fleet::Fault::none) << line;
+    ASSERT_EQ(read.error, fleet::DecodeError::none) << line;
     EXPECT_EQ(read.message.body.index(), kind);
     EXPECT_EQ(hex_text(fleet::encode(read.message, kSealingKey)), line);
   }
--- a/tests/gossip_transport_test.cpp
+++ b/tests/gossip_transport_test.cpp
@@ -18,12 +18,12 @@
 struct Link : GossipTransport::Callbacks {
   Link(Loop& loop, Timers& timers, const GossipConfig& c)
       : peers(loop.io, timers, c, c.index + 1, *this) {}
-  void on_view_changed(const fleet::View& v) override { living = v.living, ++changes; }
+  void on_view_changed(const fleet::MembershipView& v) override { living = v.living, ++changes; }
   void on_message(fleet::MemberId from, const fleet::Message& m) override {
-    if (const auto* tell = std::get_if<fleet::DutyTell>(&m.body))
-      words.emplace_back(from, tell->words);
+    if (const auto* tell = std::get_if<fleet::LeaseAnnouncement>(&m.body))
+      words.emplace_back(from, tell->entries);
   }
-  std::vector<std::pair<fleet::MemberId, std::vector<fleet::DutyWord>>> words;
+  std::vector<std::pair<fleet::MemberId, std::vector<fleet::LeaseEntry>>> words;
   std::uint32_t living = 0, changes = 0;
   GossipTransport peers;
 };
@@ -34,7 +34,7 @@
       const auto at = Peer(loop.io).at();
       base.addresses.emplace_back(at.address(), at.port());
     }
-    base.terms.nodes = kNodes, base.terms.in_per_s = 1000;
+    base.terms.nodes = kNodes, base.terms.inbox_per_s = 1000;
     base.zones = {"a", "b"};
   }
   GossipConfig config(std::uint32_t i) {
@@ -76,15 +76,15 @@
 }
 TEST_F(MembersLink, OtherPartsSendAndHearOnTheSameSocket) {
   start();
-  const std::vector<fleet::DutyWord> words{{7, 16, fleet::MemberId(1), false}};
+  const std::vector<fleet::LeaseEntry> words{{7, 16, fleet::MemberId(1), false}};
   ASSERT_TRUE(loop.until([&] {
-    links[1]->peers.send(fleet::MemberId(2), fleet::DutyTell{words}, 0);
+    links[1]->peers.send(fleet::MemberId(2), fleet::LeaseAnnouncement{words}, 0);
     return !links[2]->words.empty();
   }));
   EXPECT_EQ(links[2]->words.front(), std::pair(fleet::MemberId(1), words));
-  links[1]->peers.send(fleet::MemberId(99), fleet::DutyTell{words}, 0);  // nobody's number
+  links[1]->peers.send(fleet::MemberId(99), fleet::LeaseAnnouncement{words}, 0);  // nobody's number
   links[1]->peers.stop();
-  links[1]->peers.send(fleet::MemberId(2), fleet::DutyTell{words}, 0);
+  links[1]->peers.send(fleet::MemberId(2), fleet::LeaseAnnouncement{words}, 0);
 }
 TEST_F(MembersLink, ASuccessorInTheSamePlaceIsTheSameMember) {
   start();
@@ -107,7 +107,8 @@
   stranger.send_to(asio::buffer(bytes), base.addresses[0]);
   stranger.send_to(asio::buffer(std::string(1000, 'x')), base.addresses[0]);
   const auto dropped = [&] {
-    return links[0]->peers.stats().drops[static_cast<std::size_t>(fleet::Members::Drop::sender)];
+    return links[0]->peers.stats().drops[static_cast<std::size_t>(
+        fleet::Membership::DropReason::sender)];
   };
   EXPECT_TRUE(loop.until([&] { return dropped() == 2; }));
   EXPECT_EQ(links[0]->living, kNodes);
