--- a/lab/records_study.cpp
+++ b/lab/records_study.cpp
@@ -62,7 +62,7 @@
       s.terms.nodes, s.terms.zones, s.terms.loss * 100,
       static_cast<unsigned long long>(s.first_seed),
       static_cast<unsigned long long>(s.first_seed + s.seeds - 1), s.terms.news_per_s,
-      s.terms.pull_per_s, terms.reckoned_intake());
+      s.terms.pull_per_s, terms.expected_intake_per_s());
   std::printf(
       "| case | figure | values | mean | median | 99th percentile | most |\n| --- | --- | --- | "
       "--- | --- | "
@@ -73,7 +73,7 @@
     for (const auto& [name, values] : play_seeds(c, s)) {
       const double mean = std::accumulate(values.begin(), values.end(), 0.0) /
                           static_cast<double>(values.size());
-      const bool kept = holds(c.name, name, values.back(), terms.reckoned_intake());
+      const bool kept = holds(c.name, name, values.back(), terms.expected_intake_per_s());
       all = all && kept;
       std::printf("| %s | %s | %zu | %.3f | %.2f | %.2f | %.2f%s |\n", c.name.c_str(), name.c_str(),
                   values.size(), mean, percentile(values, 0.5), percentile(values, 0.99),
--- a/src/node/cluster_state.cpp
+++ b/src/node/cluster_state.cpp
@@ -65,21 +65,21 @@
   return s;
 }
 
-json to_json(const fleet::Records::State& s) {
+json to_json(const fleet::ReplicatedStore::Snapshot& s) {
   json records = json::array(), fresh = json::array(), written = json::array();
   // As the datagrams that would tell of them, one each.
   for (const auto& r : s.records)
     records.push_back(
         hex_of(fleet::encode({{MemberId(0), 1, 1, 0, 0, 0}, fleet::RecordUpdate{{r}}}, {})));
-  for (const auto& f : s.fresh) fresh.push_back({f.space, ns(f.at)});
+  for (const auto& f : s.fresh_as_of) fresh.push_back({f.space, ns(f.time)});
   for (const auto& w : s.written) written.push_back({w.space, w.epoch, w.sequence});
   return {{"records", std::move(records)},
           {"fresh", std::move(fresh)},
           {"written", std::move(written)},
           {"caught_up", s.caught_up}};
 }
-fleet::Records::State records_state(const json& j) {
-  fleet::Records::State s;
+fleet::ReplicatedStore::Snapshot records_state(const json& j) {
+  fleet::ReplicatedStore::Snapshot s;
   for (const auto& r : j.at("records")) {
     const auto bytes = bytes_of(r.get<std::string>());
     auto read = fleet::decode({reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()},
@@ -90,7 +90,7 @@
     s.records.push_back(std::move(tell->records.front()));
   }
   for (const auto& f : j.at("fresh"))
-    s.fresh.push_back({f.at(0).get<std::uint8_t>(), time_of(f.at(1))});
+    s.fresh_as_of.push_back({f.at(0).get<std::uint8_t>(), time_of(f.at(1))});
   for (const auto& w : j.at("written"))
     s.written.push_back(
         {w.at(0).get<std::uint8_t>(), w.at(1).get<std::uint64_t>(), w.at(2).get<std::uint32_t>()});
@@ -110,8 +110,8 @@
       throw std::invalid_argument("two duties share a name's hash: " + name);
     duties_.push_back(std::move(k));
   }
-  records_ = std::make_unique<fleet::Records>(config_.records, config_.self, config_.zone,
-                                              mix_hash(purpose));
+  records_ = std::make_unique<fleet::ReplicatedStore>(config_.records, config_.self, config_.zone,
+                                                      mix_hash(purpose));
 }
 
 ClusterState::~ClusterState() {
@@ -141,7 +141,7 @@
 void ClusterState::on_view_changed(const fleet::MembershipView& view) {
   const Time now = timers_.now();
   for (auto& k : duties_) k.duty.view(now, view);
-  records_->view(now, view);
+  records_->on_view_changed(now, view);
   if (started_) run();
 }
 
@@ -153,7 +153,7 @@
       if (const auto* at = find_or_null(by_hash_, word.lease_id))
         duties_[*at].duty.heard(now, from, word);
   } else {
-    records_->received(now, from, message);
+    records_->receive(now, from, message);
   }
   run();
 }
@@ -221,7 +221,7 @@
   running_ = false;
   timers_.cancel(due_);
   if (!started_) return;
-  Time due = records_->next();
+  Time due = records_->next_tick_time();
   for (const auto& k : duties_) due = std::min(due, k.duty.next());
   if (due == Time::max()) return;
   due_ = timers_.at(due, [this] {
@@ -236,9 +236,9 @@
     carry(i);
     watch(now, duties_[i]);
   }
-  if (records_->next() <= now) records_->tick(now);
+  if (records_->next_tick_time() <= now) records_->tick(now);
   callbacks_.on_state_changed();
-  for (auto& o : records_->take_outgoing())
+  for (auto& o : records_->drain_outgoing())
     callbacks_.send_datagram(o.to, std::move(o.body), o.echo);
 }
 
@@ -312,7 +312,7 @@
       j["here"] = h->node == config_.self && may_act(i).has_value();
     duties[duties_[i].duty.name()] = std::move(j);
   }
-  const auto& f = records_->figures();
+  const auto& f = records_->stats();
   return {{"self", fleet::index_of(config_.self)},
           {"duties", std::move(duties)},
           {"records",
--- a/src/node/cluster_state.hpp
+++ b/src/node/cluster_state.hpp
@@ -12,14 +12,14 @@
 #include <vector>
 
 #include "fleet/duty.hpp"
-#include "fleet/records.hpp"
+#include "fleet/replicated_store.hpp"
 #include "net.hpp"
 
 namespace petrelrail {
 
 struct ClusterStateConfig {
   fleet::DutyTerms duties;
-  fleet::RecordTerms records;
+  fleet::ReplicatedStoreConfig records;
   std::vector<std::string> names;  // of the duties, the same at all nodes
   fleet::MemberId self{};
   std::uint8_t zone = 0;
@@ -77,11 +77,11 @@
     return duties_.at(duty).duty.expected();
   }
   // Changes to records go through here, so that what is to be told goes out.
-  fleet::Records& records() { return *records_; }
+  fleet::ReplicatedStore& records() { return *records_; }
   void on_records_written();  // after a put or an erase
 
   const ClusterStateConfig& config() const { return config_; }
-  const fleet::Records* kept() const { return records_.get(); }
+  const fleet::ReplicatedStore* kept() const { return records_.get(); }
   fleet::Duty::Figures duty_figures() const;  // summed over all duties
   std::size_t held() const;                   // duties that this node may act under now
   // For operators: each duty that is held or known of, and what the records hold.
@@ -104,7 +104,7 @@
   const ClusterStateConfig config_;
   Callbacks& callbacks_;
   std::vector<Kept> duties_;
-  std::unique_ptr<fleet::Records> records_;
+  std::unique_ptr<fleet::ReplicatedStore> records_;
   std::map<std::uint32_t, std::size_t> by_hash_;
   Timers::Handle due_;
   bool started_ = false, running_ = false, again_ = false;
--- a/src/node/coordination.cpp
+++ b/src/node/coordination.cpp
@@ -101,9 +101,9 @@
 
 void Coordination::on_state_changed() {
   auto& records = cluster_state_.records();
-  for (const auto& o : records.take_outcomes())
+  for (const auto& o : records.drain_outcomes())
     if (jobs_) jobs_->on_record_outcome(o);
-  const auto changes = records.take_changes();
+  const auto changes = records.drain_changes();
   bool of_jobs = changes.rescan;
   for (const auto& key : changes.keys) of_jobs = of_jobs || key.space == fleet::kJobSpace;
   if (jobs_) jobs_->on_state_changed(of_jobs);
--- a/src/node/job_service.cpp
+++ b/src/node/job_service.cpp
@@ -293,7 +293,7 @@
   const Time now = timers_.now();
   const auto h = shared_.hold(duty(shard));
   return h && shared_.records().caught_up(now) &&
-         now >= h->began + shared_.config().records.spread();
+         now >= h->began + shared_.config().records.propagation_time();
 }
 
 void JobService::put(std::uint64_t token, const fleet::RecordKey& key, std::uint64_t epoch,
@@ -303,19 +303,19 @@
   wrote_ = true;
   const auto done = value ? records.put(now, key, epoch, ends, std::move(*value))
                           : records.erase(now, key, epoch, ends);
-  if (done.kind == fleet::Records::Put::Kind::taken)
+  if (done.kind == fleet::ReplicatedStore::PutResult::Kind::accepted)
     writes_[done.ticket] = token;
   else
     refused_.push_back(token);
 }
 
 std::optional<fleet::Record> JobService::find(const fleet::RecordKey& key) {
-  const auto* r = shared_.records().stored(key);
+  const auto* r = shared_.records().find_stored(key);
   return r != nullptr ? std::optional(*r) : std::nullopt;
 }
 
 void JobService::each(const std::function<void(const fleet::Record&)>& see) {
-  shared_.records().each(fleet::kJobSpace, see);
+  shared_.records().for_each(fleet::kJobSpace, see);
 }
 
 const RequestClass* JobService::class_of(const std::string& name) const {
@@ -388,10 +388,10 @@
 
 // ---- The course ---------------------------------------------------------------------------------
 
-bool JobService::on_record_outcome(const fleet::Records::Outcome& o) {
+bool JobService::on_record_outcome(const fleet::ReplicatedStore::Outcome& o) {
   const auto node = writes_.extract(o.ticket);
   if (!node) return false;
-  outcomes_.emplace_back(node.mapped(), o.safe);
+  outcomes_.emplace_back(node.mapped(), o.is_replicated);
   return true;
 }
 
--- a/src/node/job_service.hpp
+++ b/src/node/job_service.hpp
@@ -48,7 +48,7 @@
   // Rights may have changed; `records`: records of jobs have.
   void on_state_changed(bool records);
   // An outcome of Shared's records; false: it is not this desk's.
-  bool on_record_outcome(const fleet::Records::Outcome& o);
+  bool on_record_outcome(const fleet::ReplicatedStore::Outcome& o);
   // This process leaves: it sends no further lines.
   void stop() { stopped_ = true; }
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -46,12 +46,12 @@
   t.shared.zone = peers.zone;
   t.shared.duties.nodes = t.shared.records.nodes = s.fleet_size;
   t.shared.duties.clocks = t.shared.duties.counter_timeout = s.counter_timeout;
-  t.shared.records.clocks = s.counter_timeout;
+  t.shared.records.max_clock_skew = s.counter_timeout;
   t.shared.records.term = t.shared.duties.term();
   t.shared.records.spaces = facts::kRecordSpaces;
   t.shared.records.sealed = peers.terms.key.has_value();
   const double others = peers.terms.inbox_per_s * facts::kOthersShare;
-  t.shared.records.news_per_s = others * facts::kNewsShare;
+  t.shared.records.gossip_per_s = others * facts::kNewsShare;
   t.shared.records.pull_per_s = std::max(others * facts::kPullShare, 1.0);
   try {
     fleet::validate(t.shared.duties);
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -120,17 +120,17 @@
 }
 
 void write_records(MetricsText& out, const ClusterState& state, Time now) {
-  const auto& stats = state.kept()->figures();
+  const auto& stats = state.kept()->stats();
   out.gauge("records_held", stats.records);
   out.gauge("records_bytes", stats.bytes);
   out.gauge("records_caught_up", state.kept()->caught_up(now) ? 1 : 0);
   out.counter("records_puts", stats.puts);
-  out.counter("records_safe", stats.safe);
-  out.counter("records_unsafe", stats.unsafe);
-  out.counter("records_refused", stats.refused);
-  out.counter("records_taken", stats.taken);
-  out.counter("records_dropped",
-              stats.ended + stats.far + stats.full + stats.no_space + stats.ahead + stats.odd);
+  out.counter("records_safe", stats.replicated);
+  out.counter("records_unsafe", stats.unreplicated);
+  out.counter("records_refused", stats.rejected);
+  out.counter("records_taken", stats.merged);
+  out.counter("records_dropped", stats.expired + stats.too_far + stats.full + stats.no_space +
+                                     stats.epoch_ahead + stats.malformed);
 }
 
 void write_jobs(MetricsText& out, const JobService& service) {
--- a/src/world/record_cases.cpp
+++ b/src/world/record_cases.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 using fleet::RecordKey;
-using Kind = fleet::Records::Put::Kind;
+using Kind = fleet::ReplicatedStore::PutResult::Kind;
 
 constexpr std::size_t kValue = 60;        // bytes
 constexpr std::uint64_t kRecords = 1000;  // of a full table
@@ -35,7 +35,7 @@
         kPatience, 500ms);
   }
   void start(std::uint32_t node, bool full) {
-    fleet::Records::State state;
+    fleet::ReplicatedStore::Snapshot state;
     if (full) {
       const auto ends = std::chrono::duration_cast<std::chrono::seconds>(
           (fleet_.now() + 1h).time_since_epoch());
@@ -51,7 +51,7 @@
   }
   std::size_t known(std::uint32_t node) const {
     std::size_t count = 0;
-    fleet_.records(node).each(1, [&](const fleet::Record&) { ++count; });
+    fleet_.records(node).for_each(1, [&](const fleet::Record&) { ++count; });
     return count;
   }
   // Writes a new record at a node that is up and waits for what becomes of it; none: it was not
@@ -65,7 +65,7 @@
   Written write(std::uint32_t writer) {
     Written w{writer, {0, ++written_}, fleet_.now(), false};
     const auto put = fleet_.put(writer, w.key, std::string(kValue, 'w'));
-    if (put.kind != Kind::taken) return w;
+    if (put.kind != Kind::accepted) return w;
     fleet_.run_until([&] { return fleet_.outcome(writer, put.ticket) != nullptr; }, kPatience, 5ms);
     w.safe = fleet_.outcome(writer, put.ticket)->safe;
     return w;
@@ -123,7 +123,8 @@
     f.run_for(1s);
     if (i >= 20)
       for (std::uint32_t n = 0; n < f.size(); ++n)
-        if (const auto a = f.records(n).age(f.clock(n), 0)) found["age_s"].push_back(seconds(*a));
+        if (const auto a = f.records(n).staleness(f.clock(n), 0))
+          found["age_s"].push_back(seconds(*a));
   }
   found["most_in"].push_back(static_cast<double>(f.most_in()));
   return found;
@@ -244,10 +245,10 @@
 
 }  // namespace
 
-fleet::RecordTerms terms_of(const RecordCaseTerms& t) {
-  fleet::RecordTerms terms;
+fleet::ReplicatedStoreConfig terms_of(const RecordCaseTerms& t) {
+  fleet::ReplicatedStoreConfig terms;
   terms.nodes = t.nodes, terms.spaces = 2;
-  terms.news_per_s = t.news_per_s, terms.pull_per_s = t.pull_per_s;
+  terms.gossip_per_s = t.news_per_s, terms.pull_per_s = t.pull_per_s;
   return terms;
 }
 
--- a/src/world/record_cases.hpp
+++ b/src/world/record_cases.hpp
@@ -28,6 +28,6 @@
 };
 const std::vector<RecordCase>& record_cases();
 // What the terms make of the fleet's.
-fleet::RecordTerms terms_of(const RecordCaseTerms& terms);
+fleet::ReplicatedStoreConfig terms_of(const RecordCaseTerms& terms);
 
 }  // namespace petrelrail::world
--- a/src/world/record_fleet.cpp
+++ b/src/world/record_fleet.cpp
@@ -26,15 +26,16 @@
       nodes_(options_.nodes) {
   options_.terms.nodes = options_.nodes;
   auto clocks = dice_.stream("clocks");
-  for (auto& n : nodes_) n.offset = scaled(options_.terms.clocks, clocks.between(-0.5, 0.5));
+  for (auto& n : nodes_)
+    n.offset = scaled(options_.terms.max_clock_skew, clocks.between(-0.5, 0.5));
 }
 
-void RecordFleet::start_with(std::uint32_t node, const fleet::Records::State& state) {
+void RecordFleet::start_with(std::uint32_t node, const fleet::ReplicatedStore::Snapshot& state) {
   auto& n = nodes_[node];
   const auto seed = dice_.stream("life", mix_hash(node) + ++n.lives).seed();
   n.stalled = false, n.inbox.clear(), n.ticks_at = Time::max();
-  n.records = std::make_unique<fleet::Records>(options_.terms, id(node),
-                                               static_cast<std::uint8_t>(zone(node)), seed);
+  n.records = std::make_unique<fleet::ReplicatedStore>(options_.terms, id(node),
+                                                       static_cast<std::uint8_t>(zone(node)), seed);
   n.records->restore(clock(node), state);
   n.records->start(clock(node));
   views_change();
@@ -93,18 +94,18 @@
                         : there > 1       ? fleet::Reachability::minority
                                           : fleet::Reachability::alone;
     view.members = std::move(seats);
-    nodes_[a].records->view(clock(a), view);
+    nodes_[a].records->on_view_changed(clock(a), view);
     after(a);
   }
 }
 
 std::uint64_t RecordFleet::epoch() const {
   const auto& t = options_.terms;
-  return static_cast<std::uint64_t>(now().time_since_epoch() / t.term) * t.gifts;
+  return static_cast<std::uint64_t>(now().time_since_epoch() / t.term) * t.epochs_per_term;
 }
 
-fleet::Records::Put RecordFleet::put(std::uint32_t node, fleet::RecordKey key, std::string value,
-                                     Duration life) {
+fleet::ReplicatedStore::PutResult RecordFleet::put(std::uint32_t node, fleet::RecordKey key,
+                                                   std::string value, Duration life) {
   const auto ends = std::chrono::duration_cast<std::chrono::seconds>(
                         (now() + life).time_since_epoch())
                         .count();
@@ -114,14 +115,14 @@
   return put;
 }
 
-fleet::Records::Put RecordFleet::erase(std::uint32_t node, fleet::RecordKey key) {
+fleet::ReplicatedStore::PutResult RecordFleet::erase(std::uint32_t node, fleet::RecordKey key) {
   const auto put = records(node).erase(clock(node), key, epoch());
   after(node);
   return put;
 }
 
 void RecordFleet::mark(std::uint32_t node, std::uint8_t space) {
-  records(node).mark(clock(node), space, epoch());
+  records(node).write_watermark(clock(node), space, epoch());
   after(node);
 }
 
@@ -154,15 +155,15 @@
   const auto read = fleet::decode(
       {reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()}, {});
   if (read.error == fleet::DecodeError::none)
-    nodes_[to].records->received(clock(to), id(from), read.message);
+    nodes_[to].records->receive(clock(to), id(from), read.message);
 }
 
 // What a node has to say goes out, and its next tick is set.
 void RecordFleet::after(std::uint32_t node) {
   auto& n = nodes_[node];
-  for (const auto& o : n.records->take_outcomes())
-    outcomes_.push_back({node, o.ticket, o.safe, now()});
-  for (auto& o : n.records->take_outgoing()) {
+  for (const auto& o : n.records->drain_outcomes())
+    outcomes_.push_back({node, o.ticket, o.is_replicated, now()});
+  for (auto& o : n.records->drain_outgoing()) {
     ++n.sent;
     const auto to = static_cast<std::uint32_t>(o.to);
     fleet::Message message{{id(node), 1, 1, static_cast<std::uint8_t>(zone(node)), o.echo, 0},
@@ -172,7 +173,7 @@
     for (const Time when : network_.send(now()))
       agenda_.at(when, [this, node, to, bytes] { arrive(node, to, bytes); });
   }
-  const Time due = n.records->next();
+  const Time due = n.records->next_tick_time();
   if (due == Time::max() || due == n.ticks_at) return;
   n.ticks_at = due;
   agenda_.at(due - n.offset, [this, node, due, life = n.lives] {
@@ -185,7 +186,7 @@
 void RecordFleet::tick(std::uint32_t node) {
   auto& n = nodes_[node];
   n.ticks_at = Time::max();
-  if (n.records && n.records->next() <= clock(node)) n.records->tick(clock(node));
+  if (n.records && n.records->next_tick_time() <= clock(node)) n.records->tick(clock(node));
 }
 
 bool RecordFleet::run_until(const std::function<bool()>& holds, Duration most, Duration step) {
@@ -200,7 +201,7 @@
 bool RecordFleet::agreed(std::uint8_t space) const {
   const auto of = [&](std::uint32_t n) {
     std::vector<fleet::Record> all;
-    records(n).each(space, [&](const fleet::Record& r) { all.push_back(r); });
+    records(n).for_each(space, [&](const fleet::Record& r) { all.push_back(r); });
     return all;
   };
   std::optional<std::vector<fleet::Record>> first;
--- a/src/world/record_fleet.hpp
+++ b/src/world/record_fleet.hpp
@@ -12,7 +12,7 @@
 
 #include "agenda.hpp"
 #include "dice.hpp"
-#include "fleet/records.hpp"
+#include "fleet/replicated_store.hpp"
 #include "peers.hpp"
 
 namespace petrelrail::world {
@@ -22,7 +22,7 @@
   struct Options {
     std::uint32_t nodes = 300, zones = 3;
     PeerTerms peers{};
-    fleet::RecordTerms terms{};  // `nodes` follows from the above
+    fleet::ReplicatedStoreConfig terms{};  // `nodes` follows from the above
     Duration view_delay = std::chrono::milliseconds(2500);
     std::uint64_t seed = 1;
   };
@@ -41,20 +41,20 @@
   // From nothing; one that is up is started anew, as if it had been killed at that moment.
   void start(std::uint32_t node) { start_with(node, {}); }
   // With what a predecessor held.
-  void start_with(std::uint32_t node, const fleet::Records::State& state);
+  void start_with(std::uint32_t node, const fleet::ReplicatedStore::Snapshot& state);
   void start_all();
   void kill(std::uint32_t node);
   void stall(std::uint32_t node, bool stalled);
   bool up(std::uint32_t node) const { return nodes_[node].records != nullptr; }
   void cut(Lost lost);  // none: healed
 
-  fleet::Records& records(std::uint32_t node) { return *nodes_[node].records; }
-  const fleet::Records& records(std::uint32_t node) const { return *nodes_[node].records; }
+  fleet::ReplicatedStore& records(std::uint32_t node) { return *nodes_[node].records; }
+  const fleet::ReplicatedStore& records(std::uint32_t node) const { return *nodes_[node].records; }
   // Of a write that this node makes now, with the node's clock; its epoch is the term's that runs,
   // ends so long ahead.
-  fleet::Records::Put put(std::uint32_t node, fleet::RecordKey key, std::string value,
-                          Duration life = std::chrono::hours(1));
-  fleet::Records::Put erase(std::uint32_t node, fleet::RecordKey key);
+  fleet::ReplicatedStore::PutResult put(std::uint32_t node, fleet::RecordKey key, std::string value,
+                                        Duration life = std::chrono::hours(1));
+  fleet::ReplicatedStore::PutResult erase(std::uint32_t node, fleet::RecordKey key);
   void mark(std::uint32_t node, std::uint8_t space);
   std::uint64_t epoch() const;
   // A message as if it came from a node's address.
@@ -84,7 +84,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<fleet::Records> records;
+    std::unique_ptr<fleet::ReplicatedStore> records;
     Duration offset{};
     std::uint64_t lives = 0, most_in = 0, sent = 0;
     bool stalled = false;
