--- a/src/fleet/shadow_verdict.cpp
+++ b/src/fleet/shadow_verdict.cpp
@@ -69,15 +69,18 @@
 Finding judge(const Sum& sum, std::uint32_t shards, const Margins& margins) {
   const double part = 1.0 / shards;
   const auto failing = sum.failing(), differing = sum.differing();
-  if (suffices(evidence_of_worse(failing), kForFailing * part)) return Finding::failing;
-  if (suffices(evidence_of_worse(differing), kForDiffersByShard * part)) return Finding::differs;
-  bool same = suffices(evidence_of_within(failing, margins.failing), kWrongRate) &&
-              suffices(evidence_of_within(differing, margins.differs), kWrongRate);
+  if (is_sufficient(log_evidence_of_worse(failing), kForFailing * part)) return Finding::failing;
+  if (is_sufficient(log_evidence_of_worse(differing), kForDiffersByShard * part))
+    return Finding::differs;
+  bool same = is_sufficient(log_evidence_of_excess_below(failing, margins.failing), kWrongRate) &&
+              is_sufficient(log_evidence_of_excess_below(differing, margins.differs), kWrongRate);
   for (std::size_t edge = 0; edge < kEdges; ++edge) {
     const auto later = sum.later(edge), within = sum.within(edge);
-    if (suffices(evidence_of_beyond(later, within, margins.slower), kForSlower * part / kEdges))
+    if (is_sufficient(log_evidence_of_excess_above(later, within, margins.slower),
+                      kForSlower * part / kEdges))
       return Finding::slower;
-    same = same && suffices(evidence_of_within(later, within, margins.slower), kWrongRate);
+    same = same &&
+           is_sufficient(log_evidence_of_excess_below(later, within, margins.slower), kWrongRate);
   }
   return same ? Finding::same : Finding::undecided;
 }
@@ -86,7 +89,8 @@
   Trial together;
   for (const auto& s : sums) together.add(s.differing());
   const auto bad = [](Finding f) { return f > Finding::same; };
-  if (std::ranges::any_of(findings, bad) || suffices(evidence_of_worse(together), kForAllTogether))
+  if (std::ranges::any_of(findings, bad) ||
+      is_sufficient(log_evidence_of_worse(together), kForAllTogether))
     return MapFinding::must_not;
   const auto same = [](Finding f) { return f == Finding::same; };
   return std::ranges::all_of(findings, same) ? MapFinding::may_be_used : MapFinding::undecided;
--- a/tests/fleet/shadow_test.cpp
+++ b/tests/fleet/shadow_test.cpp
@@ -151,15 +151,15 @@
       const bool candidate = draw() % 2 == 0, event = draw() % 10 == 0;
       plain.copy(candidate, event, margin);
       t.add({1, candidate && event ? 1U : 0U, !candidate && event ? 1U : 0U});
-      ASSERT_NEAR(evidence_of_worse(t), plain.halving(), 1e-9);
-      ASSERT_NEAR(evidence_of_beyond(t, margin), Plain::even(plain.beyond), 1e-9);
-      ASSERT_NEAR(evidence_of_within(t, margin), Plain::even(plain.within), 1e-9);
+      ASSERT_NEAR(log_evidence_of_worse(t), plain.halving(), 1e-9);
+      ASSERT_NEAR(log_evidence_of_excess_above(t, margin), Plain::even(plain.beyond), 1e-9);
+      ASSERT_NEAR(log_evidence_of_excess_below(t, margin), Plain::even(plain.within), 1e-9);
     }
   }
-  EXPECT_NEAR(evidence_of_worse({}), 0, 1e-12);
-  EXPECT_TRUE(std::isfinite(evidence_of_worse({~0ULL, ~0U, ~0U})));
-  EXPECT_TRUE(suffices(std::log(100.0) + 1e-9, 0.01));
-  EXPECT_FALSE(suffices(std::log(100.0) - 1e-9, 0.01));
+  EXPECT_NEAR(log_evidence_of_worse({}), 0, 1e-12);
+  EXPECT_TRUE(std::isfinite(log_evidence_of_worse({~0ULL, ~0U, ~0U})));
+  EXPECT_TRUE(is_sufficient(std::log(100.0) + 1e-9, 0.01));
+  EXPECT_FALSE(is_sufficient(std::log(100.0) - 1e-9, 0.01));
 }
 // The expectation of each process, over all courses of a short trial, is at most 1 where its
 // hypothesis is true.
@@ -180,14 +180,16 @@
   };
   for (const int copies : {1, 7, 40})
     for (const double k : {0.001, 0.3, 0.9}) {
-      EXPECT_LE(mean(copies, k, k, evidence_of_worse), 1 + 1e-9);
-      EXPECT_LE(mean(copies, k / 2, k, evidence_of_worse), 1 + 1e-9);
+      EXPECT_LE(mean(copies, k, k, log_evidence_of_worse), 1 + 1e-9);
+      EXPECT_LE(mean(copies, k / 2, k, log_evidence_of_worse), 1 + 1e-9);
       const double m = 0.05;
-      EXPECT_LE(mean(copies, k + m, k, [&](const Trial& t) { return evidence_of_beyond(t, m); }),
+      EXPECT_LE(mean(copies, k + m, k,
+                     [&](const Trial& t) { return log_evidence_of_excess_above(t, m); }),
                 1 + 1e-9);
-      EXPECT_LE(mean(copies, k + m, k, [&](const Trial& t) { return evidence_of_within(t, m); }),
+      EXPECT_LE(mean(copies, k + m, k,
+                     [&](const Trial& t) { return log_evidence_of_excess_below(t, m); }),
                 1 + 1e-9);
-      EXPECT_GT(mean(copies, k + m, k, evidence_of_worse), 1);
+      EXPECT_GT(mean(copies, k + m, k, log_evidence_of_worse), 1);
     }
 }
 TEST(Sequential, NeitherDoesOneOfAnEventThatACopyHasOrLacks) {
@@ -207,8 +209,8 @@
               return Trial{static_cast<std::uint64_t>(n), static_cast<std::uint64_t>(x),
                            static_cast<std::uint64_t>(y)};
             };
-            beyond += std::exp(chance + evidence_of_beyond(trial(a, c), trial(b, d), m));
-            within += std::exp(chance + evidence_of_within(trial(a, c), trial(b, d), m));
+            beyond += std::exp(chance + log_evidence_of_excess_above(trial(a, c), trial(b, d), m));
+            within += std::exp(chance + log_evidence_of_excess_below(trial(a, c), trial(b, d), m));
           }
       EXPECT_LE(beyond, 1 + 1e-9);
       EXPECT_LE(within, 1 + 1e-9);
