--- a/src/node/cluster_state.cpp
+++ b/src/node/cluster_state.cpp
@@ -66,32 +66,32 @@
   return s;
 }
 
-json to_json(const fleet::Records::State& s) {
+json to_json(const fleet::ReplicatedStore::Snapshot& s) {
   json records = json::array(), fresh = json::array(), written = json::array();
   // Each record is stored as a datagram that carries it alone.
   for (const auto& r : s.records)
     records.push_back(
-        hex_of(fleet::encode({{MemberId(0), 1, 1, 0, 0, 0}, fleet::RecordTell{{r}}}, {})));
-  for (const auto& f : s.fresh) fresh.push_back({f.space, ns(f.at)});
+        hex_of(fleet::encode({{MemberId(0), 1, 1, 0, 0, 0}, fleet::RecordUpdate{{r}}}, {})));
+  for (const auto& f : s.fresh_as_of) fresh.push_back({f.space, ns(f.time)});
   for (const auto& w : s.written) written.push_back({w.space, w.epoch, w.sequence});
   return {{"records", std::move(records)},
           {"fresh", std::move(fresh)},
           {"written", std::move(written)},
           {"caught_up", s.caught_up}};
 }
-fleet::Records::State store_state_from_json(const json& j) {
-  fleet::Records::State s;
+fleet::ReplicatedStore::Snapshot store_state_from_json(const json& j) {
+  fleet::ReplicatedStore::Snapshot s;
   for (const auto& r : j.at("records")) {
     const auto bytes = bytes_from_hex(r.get<std::string>());
     auto read = fleet::decode({reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()},
                               {});
-    auto* tell = std::get_if<fleet::RecordTell>(&read.message.body);
-    if (read.fault != fleet::Fault::none || tell == nullptr || tell->records.size() != 1)
+    auto* tell = std::get_if<fleet::RecordUpdate>(&read.message.body);
+    if (read.error != fleet::DecodeError::none || tell == nullptr || tell->records.size() != 1)
       throw std::runtime_error("malformed record");
     s.records.push_back(std::move(tell->records.front()));
   }
   for (const auto& f : j.at("fresh"))
-    s.fresh.push_back({f.at(0).get<std::uint8_t>(), time_from_json(f.at(1))});
+    s.fresh_as_of.push_back({f.at(0).get<std::uint8_t>(), time_from_json(f.at(1))});
   for (const auto& w : j.at("written"))
     s.written.push_back(
         {w.at(0).get<std::uint8_t>(), w.at(1).get<std::uint64_t>(), w.at(2).get<std::uint32_t>()});
@@ -112,8 +112,8 @@
       throw std::invalid_argument("two leases have the same name hash: " + name);
     leases_.push_back(std::move(state));
   }
-  store_ = std::make_unique<fleet::Records>(config_.store, config_.self, config_.zone,
-                                            mix_hash(purpose));
+  store_ = std::make_unique<fleet::ReplicatedStore>(config_.store, config_.self, config_.zone,
+                                                    mix_hash(purpose));
 }
 
 ClusterState::~ClusterState() {
@@ -140,22 +140,22 @@
   run();
 }
 
-void ClusterState::on_view_changed(const fleet::View& view) {
+void ClusterState::on_view_changed(const fleet::MembershipView& view) {
   const Time now = timers_.now();
   for (auto& s : leases_) s.lease.view(now, view);
-  store_->view(now, view);
+  store_->on_view_changed(now, view);
   if (started_) run();
 }
 
 void ClusterState::on_message(MemberId from, const fleet::Message& message) {
   if (!started_) return;
   const Time now = timers_.now();
-  if (const auto* tell = std::get_if<fleet::DutyTell>(&message.body)) {
-    for (const auto& word : tell->words)
-      if (const auto* index = find_or_null(lease_by_hash_, word.duty))
+  if (const auto* tell = std::get_if<fleet::LeaseAnnouncement>(&message.body)) {
+    for (const auto& word : tell->entries)
+      if (const auto* index = find_or_null(lease_by_hash_, word.lease_id))
         leases_[*index].lease.heard(now, from, word);
   } else {
-    store_->received(now, from, message);
+    store_->receive(now, from, message);
   }
   run();
 }
@@ -225,7 +225,7 @@
   running_ = false;
   timers_.cancel(timer_);
   if (!started_) return;
-  Time due = store_->next();
+  Time due = store_->next_tick_time();
   for (const auto& s : leases_) due = std::min(due, s.lease.next());
   if (due == Time::max()) return;
   timer_ = timers_.at(due, [this] {
@@ -240,15 +240,17 @@
     send_outgoing(i);
     update_tenure(now, leases_[i]);
   }
-  if (store_->next() <= now) store_->tick(now);
+  if (store_->next_tick_time() <= now) store_->tick(now);
   callbacks_.on_state_changed();
-  for (auto& o : store_->take_outgoing()) callbacks_.send_datagram(o.to, std::move(o.body), o.echo);
+  for (auto& o : store_->drain_outgoing())
+    callbacks_.send_datagram(o.to, std::move(o.body), o.echo);
 }
 
 void ClusterState::send_outgoing(std::size_t lease) {
   auto& l = leases_[lease].lease;
   for (const auto& call : l.take_calls()) call_counter(lease, call);
-  for (auto& w : l.take_words()) callbacks_.send_datagram(w.to, fleet::DutyTell{{w.word}}, 0);
+  for (auto& w : l.take_words())
+    callbacks_.send_datagram(w.to, fleet::LeaseAnnouncement{{w.word}}, 0);
 }
 
 // A lease's call is delayed once, by the counter time-out, if quota calls are queued. A longer wait
@@ -316,7 +318,7 @@
       j["here"] = h->node == config_.self && valid_term(i).has_value();
     leases[leases_[i].lease.name()] = std::move(j);
   }
-  const auto& f = store_->figures();
+  const auto& f = store_->stats();
   return {
       {"self", fleet::index_of(config_.self)},
       {"duties", std::move(leases)},
--- a/src/node/cluster_state.hpp
+++ b/src/node/cluster_state.hpp
@@ -13,14 +13,14 @@
 #include <vector>
 
 #include "fleet/duty.hpp"
-#include "fleet/records.hpp"
+#include "fleet/replicated_store.hpp"
 #include "net.hpp"
 
 namespace petrelrail {
 
 struct ClusterStateConfig {
   fleet::DutyTerms lease;
-  fleet::RecordTerms store;
+  fleet::ReplicatedStoreConfig store;
   std::vector<std::string> lease_names;  // the same at all nodes
   fleet::MemberId self{};
   std::uint8_t zone = 0;
@@ -53,7 +53,7 @@
   // applies nothing, if that can't be parsed.
   void start(const nlohmann::json* predecessor);
   bool started() const { return started_; }
-  void on_view_changed(const fleet::View& view);
+  void on_view_changed(const fleet::MembershipView& view);
   // Called with each datagram of a kind that the membership protocol does not handle.
   void on_message(fleet::MemberId from, const fleet::Message& message);
   // Called when this node leaves: transfers its leases to other nodes.
@@ -80,11 +80,11 @@
     return leases_.at(lease).lease.expected();
   }
   // For writing; on_records_written() has to be called after a put or an erase, to send it out.
-  fleet::Records& mutable_store() { return *store_; }
+  fleet::ReplicatedStore& mutable_store() { return *store_; }
   void on_records_written();
 
   const ClusterStateConfig& config() const { return config_; }
-  const fleet::Records* store() const { return store_.get(); }
+  const fleet::ReplicatedStore* store() const { return store_.get(); }
   // Summed over all leases.
   fleet::Duty::Figures lease_stats() const;
   // The number of leases under which this node may act now.
@@ -109,7 +109,7 @@
   const ClusterStateConfig config_;
   Callbacks& callbacks_;
   std::vector<LeaseState> leases_;
-  std::unique_ptr<fleet::Records> store_;
+  std::unique_ptr<fleet::ReplicatedStore> store_;
   std::map<std::uint32_t, std::size_t> lease_by_hash_;
   Timers::Handle timer_;
   bool started_ = false, running_ = false, rerun_ = false;
--- a/src/node/coordination.cpp
+++ b/src/node/coordination.cpp
@@ -102,9 +102,9 @@
 
 void Coordination::on_state_changed() {
   auto& store = cluster_state_.mutable_store();
-  for (const auto& o : store.take_outcomes())
+  for (const auto& o : store.drain_outcomes())
     if (jobs_) jobs_->on_record_outcome(o);
-  const auto changes = store.take_changes();
+  const auto changes = store.drain_changes();
   bool jobs_changed = changes.rescan;
   for (const auto& key : changes.keys) jobs_changed = jobs_changed || key.space == fleet::kJobSpace;
   if (jobs_) jobs_->on_state_changed(jobs_changed);
--- a/src/node/coordination.hpp
+++ b/src/node/coordination.hpp
@@ -43,7 +43,7 @@
   // Starts with what export_state() of a predecessor process returned; null: without. State that
   // can't be parsed is logged and left out.
   void start(const nlohmann::json* predecessor);
-  void on_view_changed(const fleet::View& view) { cluster_state_.on_view_changed(view); }
+  void on_view_changed(const fleet::MembershipView& view) { cluster_state_.on_view_changed(view); }
   void on_message(fleet::MemberId from, const fleet::Message& message) {
     cluster_state_.on_message(from, message);
   }
--- a/src/node/gossip_transport.cpp
+++ b/src/node/gossip_transport.cpp
@@ -13,12 +13,12 @@
 
 }  // namespace
 
-nlohmann::json to_json(const fleet::Self& s) {
-  return {{"life", s.life}, {"incarnation", s.incarnation}};
+nlohmann::json to_json(const fleet::LocalMember& s) {
+  return {{"life", s.instance_id}, {"incarnation", s.incarnation}};
 }
 
-fleet::Self self_from_json(const nlohmann::json& j, fleet::Self self) {
-  self.life = j.at("life").get<std::uint16_t>();
+fleet::LocalMember self_from_json(const nlohmann::json& j, fleet::LocalMember self) {
+  self.instance_id = j.at("life").get<std::uint16_t>();
   self.incarnation = j.at("incarnation").get<std::uint32_t>();
   if (self.incarnation == 0) throw std::runtime_error("incarnation must be above 0");
   return self;
@@ -34,7 +34,7 @@
   fleet::validate(config_.terms);
   self_.id = fleet::MemberId(static_cast<std::uint16_t>(config_.index));
   self_.zone = config_.zone;
-  self_.life = static_cast<std::uint16_t>(mix_hash(seed_));
+  self_.instance_id = static_cast<std::uint16_t>(mix_hash(seed_));
   for (std::size_t i = 0; i < config_.addresses.size(); ++i)
     members_by_address_.emplace(config_.addresses[i],
                                 fleet::MemberId(static_cast<std::uint16_t>(i)));
@@ -42,7 +42,7 @@
 
 GossipTransport::~GossipTransport() { stop(); }
 
-void GossipTransport::start(const std::optional<fleet::Self>& predecessor) {
+void GossipTransport::start(const std::optional<fleet::LocalMember>& predecessor) {
   if (started()) return;
   socket_.open(config_.listen.protocol());
   socket_.set_option(asio::socket_base::reuse_address(true));
@@ -58,7 +58,7 @@
     self_ = *predecessor;
   else if (members_)
     self_ = members_->self();  // resumes after a successor has failed
-  members_ = std::make_unique<fleet::Members>(config_.terms, self_, seed_);
+  members_ = std::make_unique<fleet::Membership>(config_.terms, self_, seed_);
   reported_version_ = 0;
   members_->start(timers_.now());
   receive();
@@ -105,18 +105,18 @@
 
 void GossipTransport::on_datagram(std::size_t bytes) {
   const auto it = members_by_address_.find(sender_);
-  if (it == members_by_address_.end()) return members_->stranger();
-  if (const auto message = members_->received(timers_.now(), it->second,
-                                              {receive_buffer_.data(), bytes}))
+  if (it == members_by_address_.end()) return members_->count_unknown_sender();
+  if (const auto message = members_->receive(timers_.now(), it->second,
+                                             {receive_buffer_.data(), bytes}))
     callbacks_.on_message(it->second, *message);
 }
 
 void GossipTransport::send(fleet::MemberId to, fleet::Body body, std::uint32_t echo) {
   if (started() && fleet::index_of(to) < config_.addresses.size())
-    write_datagram(members_->sealed(to, std::move(body), echo));
+    write_datagram(members_->seal(to, std::move(body), echo));
 }
 
-void GossipTransport::write_datagram(const fleet::Members::Datagram& d) {
+void GossipTransport::write_datagram(const fleet::Membership::Datagram& d) {
   error_code failed;
   socket_.send_to(asio::buffer(d.bytes), config_.addresses[fleet::index_of(d.to)], 0, failed);
   if (failed) ++unsent_;
@@ -124,47 +124,47 @@
 
 void GossipTransport::tick() {
   drain_socket();
-  if (const Time now = timers_.now(); members_->next() <= now) members_->tick(now);
+  if (const Time now = timers_.now(); members_->next_tick_time() <= now) members_->tick(now);
   process_output();
 }
 
 void GossipTransport::process_output() {
-  for (const auto& d : members_->take_datagrams()) write_datagram(d);
-  for (const auto& verdict : members_->take_verdicts()) log_status_change(verdict);
+  for (const auto& d : members_->drain_datagrams()) write_datagram(d);
+  for (const auto& verdict : members_->drain_status_changes()) log_status_change(verdict);
   timers_.cancel(timer_);
-  timer_ = timers_.at(members_->next(), [this] {
+  timer_ = timers_.at(members_->next_tick_time(), [this] {
     timer_.reset();
     tick();
   });
-  const auto standing = members_->standing(timers_.now());
+  const auto standing = members_->reachability(timers_.now());
   const bool standing_changed = std::exchange(standing_, standing) != standing;
-  if (members_->changes() == reported_version_ && !standing_changed) return;
-  reported_version_ = members_->changes();
+  if (members_->view_version() == reported_version_ && !standing_changed) return;
+  reported_version_ = members_->view_version();
   const auto current_view = view();
   if (standing_changed)
     log::warning("members",
-                 std::string("this node reaches ") + fleet::name_of(current_view->standing),
+                 std::string("this node reaches ") + fleet::name_of(current_view->reachability),
                  {{"living", std::to_string(current_view->living)},
                   {"failed", std::to_string(current_view->failed)}});
-  if (const bool conflict = members_->conflicted(timers_.now());
+  if (const bool conflict = members_->has_id_conflict(timers_.now());
       std::exchange(conflicted_, conflict) != conflict && conflict)
     log::warning("members", "another process goes by this node's name");
   callbacks_.on_view_changed(*current_view);
 }
 
-void GossipTransport::log_status_change(const fleet::Verdict& verdict) {
-  const auto member = std::to_string(fleet::index_of(verdict.about));
+void GossipTransport::log_status_change(const fleet::StatusChange& verdict) {
+  const auto member = std::to_string(fleet::index_of(verdict.member));
   const auto incarnation = std::to_string(verdict.incarnation);
-  switch (verdict.rank) {
-    case fleet::Rank::suspect:
+  switch (verdict.status) {
+    case fleet::MemberStatus::suspect:
       return log::info("members", "member " + member + " is suspect",
                        {{"incarnation", incarnation}});
-    case fleet::Rank::failed:
+    case fleet::MemberStatus::failed:
       return log::warning("members", "member " + member + " has failed",
                           {{"incarnation", incarnation}});
-    case fleet::Rank::left:
+    case fleet::MemberStatus::left:
       return log::info("members", "member " + member + " has left", {{"incarnation", incarnation}});
-    case fleet::Rank::alive:
+    case fleet::MemberStatus::alive:
       return log::info("members",
                        "member " + member + (verdict.returned ? " is back" : " is there"),
                        {{"incarnation", incarnation}});
@@ -178,15 +178,15 @@
     return static_cast<double>(static_cast<std::int64_t>(s * 1e3)) / 1e3;
   };
   nlohmann::json members = nlohmann::json::array(), zones = nlohmann::json::array();
-  for (std::size_t i = 0; i < current_view->seats->size(); ++i) {
-    const auto& s = (*current_view->seats)[i];
+  for (std::size_t i = 0; i < current_view->members->size(); ++i) {
+    const auto& s = (*current_view->members)[i];
     nlohmann::json m = {{"number", i},
-                        {"state", s.state.known() ? fleet::name_of(s.state.rank) : "unknown"}};
+                        {"state", s.state.known() ? fleet::name_of(s.state.status) : "unknown"}};
     if (s.state.known()) {
       m["incarnation"] = s.state.incarnation;
       m["zone"] = s.zone < config_.zones.size() ? config_.zones[s.zone] : std::to_string(s.zone);
       m["since_s"] = rounded(seconds_since(now, s.since));
-      if (!s.settled) m["settled"] = false;
+      if (!s.stable) m["settled"] = false;
     }
     members.push_back(std::move(m));
   }
@@ -194,19 +194,19 @@
     zones.push_back({{"zone", z < config_.zones.size() ? config_.zones[z] : std::to_string(z)},
                      {"known", current_view->zones[z].known},
                      {"living", current_view->zones[z].living},
-                     {"heard_s", rounded(seconds_since(now, current_view->zones[z].heard))}});
+                     {"heard_s", rounded(seconds_since(now, current_view->zones[z].last_heard))}});
   return {{"self", config_.index},
           {"incarnation", members_->self().incarnation},
-          {"standing", fleet::name_of(current_view->standing)},
+          {"standing", fleet::name_of(current_view->reachability)},
           {"version", current_view->version},
           {"age_s", rounded(seconds_since(now, current_view->since))},
-          {"stale_s", rounded(seconds(current_view->stale(now)))},
+          {"stale_s", rounded(seconds(current_view->staleness(now)))},
           {"living", current_view->living},
           {"suspect", current_view->suspects},
           {"failed", current_view->failed},
           {"left", current_view->left},
           {"unknown", current_view->unknown},
-          {"health", stats().health},
+          {"health", stats().local_health},
           {"zones", std::move(zones)},
           {"members", std::move(members)}};
 }
--- a/src/node/gossip_transport.hpp
+++ b/src/node/gossip_transport.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/members.hpp"
+#include "fleet/membership.hpp"
 #include "net.hpp"
 
 namespace petrelrail {
@@ -23,7 +23,7 @@
 struct GossipConfig {
   Udp::endpoint listen;
   std::vector<Udp::endpoint> addresses;  // of all nodes, this one's included, by node index
-  fleet::Terms terms;
+  fleet::MembershipConfig terms;
   std::uint8_t zone = 0;
   std::vector<std::string> zones;  // zone names, by zone index
   std::uint32_t index = 0;
@@ -32,14 +32,14 @@
 };
 
 // The member's identity, which a successor process of this node takes over.
-nlohmann::json to_json(const fleet::Self& s);
+nlohmann::json to_json(const fleet::LocalMember& s);
 // Applies a to_json() result to `self`. Throws if it can't be parsed.
-fleet::Self self_from_json(const nlohmann::json& j, fleet::Self self);
+fleet::LocalMember self_from_json(const nlohmann::json& j, fleet::LocalMember self);
 
 class GossipTransport {
  public:
   struct Callbacks {
-    virtual void on_view_changed(const fleet::View& view) = 0;
+    virtual void on_view_changed(const fleet::MembershipView& view) = 0;
     // Called with a datagram of a kind that the membership protocol does not handle.
     virtual void on_message(fleet::MemberId from, const fleet::Message& message) {
       static_cast<void>(from), static_cast<void>(message);
@@ -57,7 +57,7 @@
 
   // Binds the address and joins, as the member that the predecessor process was, if given. Throws
   // boost::system::system_error if the address can't be bound.
-  void start(const std::optional<fleet::Self>& predecessor);
+  void start(const std::optional<fleet::LocalMember>& predecessor);
   // Announces that this node leaves, and repeats it until the process ends.
   void leave();
   // Sends a datagram of another part of the node; drops it if the socket is closed.
@@ -66,10 +66,12 @@
   void stop();
   bool started() const { return socket_.is_open(); }
 
-  fleet::Self self() const { return members_ ? members_->self() : self_; }
+  fleet::LocalMember self() const { return members_ ? members_->self() : self_; }
   // The present membership view; only after start(), as stats() and to_json().
-  std::shared_ptr<const fleet::View> view() const { return members_->view(timers_.now()); }
-  const fleet::Members::Figures& stats() const { return members_->figures(); }
+  std::shared_ptr<const fleet::MembershipView> view() const {
+    return members_->view(timers_.now());
+  }
+  const fleet::Membership::Stats& stats() const { return members_->stats(); }
   // The membership view for operators.
   nlohmann::json to_json() const;
   // Datagrams that the system refused to send.
@@ -81,22 +83,22 @@
   void on_datagram(std::size_t bytes);
   void tick();
   void process_output();
-  void log_status_change(const fleet::Verdict& verdict);
-  void write_datagram(const fleet::Members::Datagram& d);
+  void log_status_change(const fleet::StatusChange& verdict);
+  void write_datagram(const fleet::Membership::Datagram& d);
 
   Timers& timers_;
   const GossipConfig config_;
   Callbacks& callbacks_;
-  fleet::Self self_;
+  fleet::LocalMember self_;
   std::uint64_t seed_;
-  std::unique_ptr<fleet::Members> members_;  // null until started
+  std::unique_ptr<fleet::Membership> members_;  // null until started
   std::map<Udp::endpoint, fleet::MemberId> members_by_address_;
   asio::basic_datagram_socket<Udp, Executor> socket_;
-  std::array<std::uint8_t, 2 * fleet::kMostBytes> receive_buffer_{};
+  std::array<std::uint8_t, 2 * fleet::kMaxDatagramBytes> receive_buffer_{};
   Udp::endpoint sender_;
   Timers::Handle timer_;
   std::uint64_t reported_version_ = 0, unsent_ = 0;
-  fleet::Standing standing_ = fleet::Standing::majority;
+  fleet::Reachability standing_ = fleet::Reachability::majority;
   bool conflicted_ = false;
 };
 
--- a/src/node/job_service.cpp
+++ b/src/node/job_service.cpp
@@ -302,7 +302,7 @@
   const Time now = timers_.now();
   const auto h = cluster_state_.tenure(lease_of(shard));
   return h && cluster_state_.mutable_store().caught_up(now) &&
-         now >= h->start_time + cluster_state_.config().store.spread();
+         now >= h->start_time + cluster_state_.config().store.propagation_time();
 }
 
 void JobService::put(std::uint64_t token, const fleet::RecordKey& key, std::uint64_t epoch,
@@ -312,19 +312,19 @@
   has_written_ = true;
   const auto result = value ? records.put(now, key, epoch, ends, std::move(*value))
                             : records.erase(now, key, epoch, ends);
-  if (result.kind == fleet::Records::Put::Kind::taken)
+  if (result.kind == fleet::ReplicatedStore::PutResult::Kind::accepted)
     writes_[result.ticket] = token;
   else
     rejected_writes_.push_back(token);
 }
 
 std::optional<fleet::Record> JobService::find(const fleet::RecordKey& key) {
-  const auto* r = cluster_state_.mutable_store().stored(key);
+  const auto* r = cluster_state_.mutable_store().find_stored(key);
   return r != nullptr ? std::optional(*r) : std::nullopt;
 }
 
 void JobService::each(const std::function<void(const fleet::Record&)>& see) {
-  cluster_state_.mutable_store().each(fleet::kJobSpace, see);
+  cluster_state_.mutable_store().for_each(fleet::kJobSpace, see);
 }
 
 const RequestClass* JobService::class_of(const std::string& name) const {
@@ -399,10 +399,10 @@
 
 // ---- Event processing ---------------------------------------------------------------------------
 
-bool JobService::on_record_outcome(const fleet::Records::Outcome& outcome) {
+bool JobService::on_record_outcome(const fleet::ReplicatedStore::Outcome& outcome) {
   const auto node = writes_.extract(outcome.ticket);
   if (!node) return false;
-  write_outcomes_.emplace_back(node.mapped(), outcome.safe);
+  write_outcomes_.emplace_back(node.mapped(), outcome.is_replicated);
   return true;
 }
 
--- a/src/node/job_service.hpp
+++ b/src/node/job_service.hpp
@@ -45,6 +45,7 @@
   JobService& operator=(const JobService&) = delete;
 
   // The names of the leases, one for each shard.
+
   static std::vector<std::string> lease_names();
   // Handles a request to the admin server. Returns false if the path is not below /jobs.
   bool on_admin_request(const AdminServer::AdminRequest& request,
@@ -52,7 +53,7 @@
   // Called when leases may have changed; `records_changed`: job records have.
   void on_state_changed(bool records_changed);
   // Called with the outcome of a write. Returns false if this service did not start the write.
-  bool on_record_outcome(const fleet::Records::Outcome& outcome);
+  bool on_record_outcome(const fleet::ReplicatedStore::Outcome& outcome);
   // Called before this process ends: sends no further tasks.
   void stop() { stopped_ = true; }
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -48,12 +48,12 @@
   config.cluster_state.lease.nodes = config.cluster_state.store.nodes = s.fleet_size;
   config.cluster_state.lease.clocks = config.cluster_state.lease
                                           .counter_timeout = s.counter_timeout;
-  config.cluster_state.store.clocks = s.counter_timeout;
+  config.cluster_state.store.max_clock_skew = s.counter_timeout;
   config.cluster_state.store.term = config.cluster_state.lease.term();
   config.cluster_state.store.spaces = limits::kRecordSpaces;
   config.cluster_state.store.sealed = peers.terms.key.has_value();
-  const double intake_per_s = peers.terms.in_per_s * limits::kCoordinationIntakeShare;
-  config.cluster_state.store.news_per_s = intake_per_s * limits::kUpdateIntakeShare;
+  const double intake_per_s = peers.terms.inbox_per_s * limits::kCoordinationIntakeShare;
+  config.cluster_state.store.gossip_per_s = intake_per_s * limits::kUpdateIntakeShare;
   config.cluster_state.store.pull_per_s = std::max(intake_per_s * limits::kPullIntakeShare, 1.0);
   try {
     fleet::validate(config.cluster_state.lease);
@@ -131,7 +131,7 @@
                                             const reading::NamedSettings& named,
                                             const std::string& command_line_use) {
   auto use = parse_membership_use(command_line_use, "--members");
-  std::optional<fleet::Key> key;
+  std::optional<fleet::SealKey> key;
   if (const auto* members = optional_field(config, "members")) {
     object_of(*members, "members");
     if (const auto* list = optional_field(*members, "use"))
@@ -154,14 +154,14 @@
   if (gossip.addresses.size() != s.fleet_size)
     fail_field("peers", "an address for each node of the settings");
   gossip.terms.nodes = s.fleet_size;
-  gossip.terms.in_per_s = number(object_of(field(settings, "extra"), "extra"), "inbox-per-s");
+  gossip.terms.inbox_per_s = number(object_of(field(settings, "extra"), "extra"), "inbox-per-s");
   gossip.terms.key = key;
   gossip.index = s.gateway_index;
   gossip.paces_counter = use.pace;
   gossip.jobs = use.jobs;
   gossip.zones.resize(named.names.zones.size());
   for (const auto& [name, number] : named.names.zones) gossip.zones.at(number) = name;
-  if (gossip.zones.size() > fleet::kZones)
+  if (gossip.zones.size() > fleet::kMaxZones)
     fail_field("zones", "a list short enough for membership datagrams");
   gossip.zone = static_cast<std::uint8_t>(s.zone);
   try {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -527,7 +527,7 @@
 
 // The number of live members may change the rate of this node's counter calls. It changes no
 // customer's units.
-void Node::on_view_changed(const fleet::View& view) {
+void Node::on_view_changed(const fleet::MembershipView& view) {
   // A member that was never heard from may be alive: it counts until it has failed or left.
   if (config_.gossip->paces_counter) handle_event(FleetView{view.living + view.unknown});
   if (coordination_) coordination_->on_view_changed(view);
