--- a/src/policy/counter_keys.cpp
+++ b/src/policy/counter_keys.cpp
@@ -14,10 +14,10 @@
 // differ by less than this fraction: a window number is the time since 1970 divided by the length.
 constexpr int kSimilarLengthDivisor = 16;
 
-bool have_similar_lengths(const WindowedQuota& one, const WindowedQuota& other) {
-  if (!one.metered || !other.metered) return false;
-  const auto difference = std::chrono::abs(one.window - other.window);
-  return difference * kSimilarLengthDivisor < std::max(one.window, other.window);
+bool have_similar_lengths(const WindowedQuota& first, const WindowedQuota& second) {
+  if (!first.metered || !second.metered) return false;
+  const auto difference = std::chrono::abs(first.window - second.window);
+  return difference * kSimilarLengthDivisor < std::max(first.window, second.window);
 }
 
 std::uint64_t hash_of(const std::string& name) {
--- a/src/policy/quota_lease_table.cpp
+++ b/src/policy/quota_lease_table.cpp
@@ -170,8 +170,8 @@
   // even share, which for a customer spread unevenly over many gateways can be below one request.
   const double capped_few_requests = std::min(few_requests, limit / kQuantumRequests);
   if (rate_limiter_.is_congested()) {
-    const double part = std::max(limit / demand.gateways, capped_few_requests);
-    quantum = std::max(quantum, std::min(lease.state.average_demand, part));
+    const double max_quantum = std::max(limit / demand.gateways, capped_few_requests);
+    quantum = std::max(quantum, std::min(lease.state.average_demand, max_quantum));
   }
   if (handed_over_) quantum = 0;
   // A fraction of a request's units could not be spent.
@@ -394,8 +394,8 @@
 void QuotaLeaseTable::record_usage(double total, const WindowUnits& units,
                                    QuotaLease& lease) const {
   const auto& plan_quota = quota(lease.state.plan);
-  const double remaining = seconds(until_next_window(lease)) / seconds(plan_quota.window);
-  const double elapsed_share = std::max(1 - remaining, kMinElapsedShare);
+  const double remaining_share = seconds(until_next_window(lease)) / seconds(plan_quota.window);
+  const double elapsed_share = std::max(1 - remaining_share, kMinElapsedShare);
   lease.state.demand_ratio = total / plan_quota.limit / elapsed_share;
   const auto elapsed = std::max(context_.now - window_start(lease), Duration(1ms));
   lease.state.other_gateways_rate = std::max(0.0, total - units.counted) / seconds(elapsed);
