--- a/src/node/cluster_state.cpp
+++ b/src/node/cluster_state.cpp
@@ -104,16 +104,16 @@
 ClusterState::ClusterState(Timers& timers, const ClusterStateConfig& config, std::uint64_t seed,
                            Callbacks& callbacks)
     : timers_(timers), config_(config), callbacks_(callbacks) {
-  std::uint64_t purpose = seed;
+  std::uint64_t lease_seed = seed;
   for (const auto& name : config_.lease_names) {
     LeaseState state{
-        Duty(config_.lease, name, config_.self, purpose = mix_hash(purpose)), {}, false};
+        Duty(config_.lease, name, config_.self, lease_seed = mix_hash(lease_seed)), {}, false};
     if (!lease_by_hash_.emplace(state.lease.hash(), leases_.size()).second)
       throw std::invalid_argument("two leases have the same name hash: " + name);
     leases_.push_back(std::move(state));
   }
   store_ = std::make_unique<fleet::Records>(config_.store, config_.self, config_.zone,
-                                            mix_hash(purpose));
+                                            mix_hash(lease_seed));
 }
 
 ClusterState::~ClusterState() {
--- a/src/node/counter_client.cpp
+++ b/src/node/counter_client.cpp
@@ -238,9 +238,9 @@
       complete(c, write_ended && c.end > 0 ? CounterOutcome::refused : CounterOutcome::timeout);
     for (auto& c : unsent) complete(c, CounterOutcome::refused);
     backoff_ = std::clamp(2 * backoff_, facts::kFirstBackoff, facts::kLongestCounterBackoff);
-    const auto wait = std::uniform_int_distribution(backoff_.count() / 2,
-                                                    backoff_.count())(random_);
-    timer_ = timers_.after(Duration(wait), [self = shared_from_this()] {
+    const auto delay = std::uniform_int_distribution(backoff_.count() / 2,
+                                                     backoff_.count())(random_);
+    timer_ = timers_.after(Duration(delay), [self = shared_from_this()] {
       self->timer_.reset();
       self->connect();
     });
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -44,13 +44,14 @@
 std::optional<Tcp::endpoint> endpoint_of(std::string_view text) {
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
-  error_code failed;
-  const auto address = asio::ip::make_address(std::string(text.substr(0, colon)), failed);
+  error_code address_error;
+  const auto address = asio::ip::make_address(std::string(text.substr(0, colon)), address_error);
   const auto port_text = text.substr(colon + 1);
   std::uint16_t port = 0;
-  const auto [end, wrong] = std::from_chars(port_text.data(), port_text.data() + port_text.size(),
-                                            port);
-  if (failed || wrong != std::errc{} || end != port_text.data() + port_text.size() || port == 0)
+  const auto [end, port_error] = std::from_chars(port_text.data(),
+                                                 port_text.data() + port_text.size(), port);
+  if (address_error || port_error != std::errc{} || end != port_text.data() + port_text.size() ||
+      port == 0)
     return std::nullopt;
   return Tcp::endpoint(address, port);
 }
@@ -271,12 +272,12 @@
 }
 
 Discovery::ReadResult Discovery::process_input(Exchange& exchange) {
-  error_code wrong;
+  error_code parse_error;
   while (!exchange.parser.is_done() && exchange.buffer.size() > 0) {
-    exchange.buffer.consume(exchange.parser.put(exchange.buffer.data(), wrong));
-    if (wrong == http::error::need_more) break;
-    if (wrong)
-      return on_malformed(stats_.bad_heads, "an answer is passed over", wrong.message()),
+    exchange.buffer.consume(exchange.parser.put(exchange.buffer.data(), parse_error));
+    if (parse_error == http::error::need_more) break;
+    if (parse_error)
+      return on_malformed(stats_.bad_heads, "an answer is passed over", parse_error.message()),
              ReadResult::unreadable;
   }
   if (exchange.parser.is_header_done() && exchange.parser.get().result() != http::status::ok)
--- a/src/node/discovery.hpp
+++ b/src/node/discovery.hpp
@@ -5,8 +5,8 @@
 // Price servers count as notified of what the agent holds whether or not a watch is open. So until
 // the watch has delivered a complete line (an empty one, or the end of a list), polls for the whole
 // list are sent beside it, one per poll interval. `drain_grace` of the settings bounds that
-// interval (facts::agent_limits). An agent slower than that is still read, since the oldest poll
-// stays open for kAgentAnswer (500 ms) and only the next one is dropped to make way for a new poll.
+// interval. An agent slower than that is still read, since the oldest poll stays open for 500 ms
+// and only the next one is dropped to make way for a new poll.
 //
 // clang-format off
 //   state     | complete line    | other bytes      | time-out                 | lost: refused,   | poll interval   | whole list
@@ -71,7 +71,7 @@
   };
 
   // `zones`: indices of the zones by name; unknown zones get the next index. `drain_grace`: from
-  // the settings, see facts::agent_limits; by default the limits are the longest.
+  // the settings, bounds the poll interval and the pauses; by default they are the longest.
   Discovery(asio::io_context& io, Timers& timers, const Tcp::endpoint& agent, std::string host,
             std::map<std::string, std::uint32_t> zones, ListCallback on_list,
             Duration drain_grace = Duration::max());
--- a/src/node/net.hpp
+++ b/src/node/net.hpp
@@ -140,6 +140,8 @@
 
   Time now() const { return clock_.now(); }
 
+  // Runs `callback` once at `deadline`, or after `delay`. The handle is invalid once the callback
+  // runs, so the callback has to reset a handle that is kept.
   Handle at(Time deadline, std::function<void()> callback) {
     const auto it = queue_.emplace(deadline, std::move(callback));
     if (deadline < armed_time_) arm();
@@ -149,6 +151,7 @@
     return at(now() + delay, std::move(callback));
   }
 
+  // Cancels the timer of the handle, if it is set, and resets the handle.
   void cancel(Handle& handle) {
     if (const auto it = std::exchange(handle, std::nullopt)) queue_.erase(*it);
   }
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -83,9 +83,9 @@
 // any endpoint is closed first; if none is idle, a client connection beyond the clients' share of
 // descriptors.
 bool Upstream::reserve_connection() {
-  const bool within = stats_.open < max_connections_;
-  return (within && callbacks_.has_free_descriptor()) || evict_idle() ||
-         (within && callbacks_.reclaim_descriptor());
+  const bool below_limit = stats_.open < max_connections_;
+  return (below_limit && callbacks_.has_free_descriptor()) || evict_idle() ||
+         (below_limit && callbacks_.reclaim_descriptor());
 }
 
 bool Upstream::accepts_requests(const EndpointState& endpoint) const {
--- a/src/node/upstream_connection.cpp
+++ b/src/node/upstream_connection.cpp
@@ -149,10 +149,10 @@
     self->deadline_timer_.reset();
     // If the server has sent nothing on any connection for longer than the connect timeout, it may
     // be cut off without a reset, and idle connections would swallow what is written to them.
-    const bool silent = self->receive_count_at_start_ == self->pool_.receive_count() &&
-                        self->exchange_->deadline - self->exchange_->started >=
-                            self->upstream_.connect_timeout_;
-    if (silent) self->pool_.close_all_idle();
+    const bool is_server_silent = self->receive_count_at_start_ == self->pool_.receive_count() &&
+                                  self->exchange_->deadline - self->exchange_->started >=
+                                      self->upstream_.connect_timeout_;
+    if (is_server_silent) self->pool_.close_all_idle();
     self->close(AttemptOutcome::timeout, AttemptEndReason::timed_out);
   });
 }
@@ -242,10 +242,10 @@
   if (failed) {
     // Only an orderly close ends a response without a length. After a reset it is unknown how much
     // of it is missing.
-    error_code ended;
+    error_code eof_error;
     const bool orderly = failed == asio::error::eof && state_ == State::waiting;
-    if (orderly && parser_->got_some() && !parser_->is_done()) parser_->put_eof(ended);
-    if (orderly && !ended && parser_->is_done()) return on_response_complete();
+    if (orderly && parser_->got_some() && !parser_->is_done()) parser_->put_eof(eof_error);
+    if (orderly && !eof_error && parser_->is_done()) return on_response_complete();
     return on_connection_broken(failed == asio::error::eof ? AttemptEndReason::ended_early
                                                            : AttemptEndReason::reset);
   }
@@ -284,12 +284,12 @@
 
 // Returns false if the input is not a valid HTTP response.
 bool UpstreamConnection::feed_parser() {
-  error_code wrong;
+  error_code parse_error;
   while (!parser_->is_done() && buffer_.size() > 0) {
-    buffer_.consume(parser_->put(buffer_.data(), wrong));
+    buffer_.consume(parser_->put(buffer_.data(), parse_error));
     // The parser does not consume a chunk header or a trailer until it is complete.
-    if (wrong == http::error::need_more) return buffer_.size() < facts::kMaxHeader;
-    if (wrong) return false;
+    if (parse_error == http::error::need_more) return buffer_.size() < facts::kMaxHeader;
+    if (parse_error) return false;
     // An interim response (1xx) is followed by the final one.
     if (parser_->is_done() &&
         http::to_status_class(parser_->get().result()) == http::status_class::informational)
@@ -369,16 +369,17 @@
 // its client sees it cut off.
 void UpstreamConnection::arm_stall_timer(AttemptOutcome outcome, AttemptEndReason reason) {
   const Time now = upstream_.timers_.now();
-  Time until = now + facts::kStalled;
+  Time stall_deadline = now + facts::kStalled;
   const auto length = streaming_ ? parser_->content_length() : boost::none;
   if (streaming_ && (length ? *length : forwarded_bytes_) <= facts::kMaxBody)
-    until = std::min(until,
-                     std::max(now, exchange_->request_message->deadline + facts::kFinalLate));
+    stall_deadline = std::min(
+        stall_deadline, std::max(now, exchange_->request_message->deadline + facts::kFinalLate));
   upstream_.timers_.cancel(deadline_timer_);
-  deadline_timer_ = upstream_.timers_.at(until, [self = shared_from_this(), outcome, reason] {
-    self->deadline_timer_.reset();
-    self->close(outcome, reason);
-  });
+  deadline_timer_ = upstream_.timers_.at(stall_deadline,
+                                         [self = shared_from_this(), outcome, reason] {
+                                           self->deadline_timer_.reset();
+                                           self->close(outcome, reason);
+                                         });
 }
 
 // A broken connection can't be used for the request in flight on it. If the last byte of the
