--- a/src/node/cluster_state.cpp
+++ b/src/node/cluster_state.cpp
@@ -10,7 +10,7 @@
 namespace petrelrail {
 namespace {
 
-using fleet::Duty;
+using fleet::LeaderLease;
 using fleet::MemberId;
 using nlohmann::json;
 
@@ -38,29 +38,32 @@
 Time time_of(const json& j) { return Time(Duration(j.get<Duration::rep>())); }
 MemberId member_of(const json& j) { return MemberId(j.get<std::uint16_t>()); }
 
-json to_json(const Duty::State& s) {
+json to_json(const LeaderLease::State& s) {
   json rights = json::array(), heard = json::array();
-  for (const auto& r : s.rights) rights.push_back({r.epoch, r.mine});
-  for (const auto& h : s.heard) heard.push_back({fleet::index_of(h.node), h.epoch, ns(h.until)});
-  json j = {{"began", ns(s.began)}, {"rights", std::move(rights)}, {"heard", std::move(heard)}};
+  for (const auto& r : s.own_terms) rights.push_back({r.epoch, r.is_held});
+  for (const auto& h : s.known_holders)
+    heard.push_back({fleet::index_of(h.node), h.epoch, ns(h.term_end)});
+  json j = {
+      {"began", ns(s.start_time)}, {"rights", std::move(rights)}, {"heard", std::move(heard)}};
   if (s.claim)
     j["claim"] = {s.claim->term, static_cast<int>(s.claim->phase), s.claim->amount,
-                  s.claim->unknown};
+                  s.claim->outcome_unknown};
   return j;
 }
-Duty::State duty_state(const json& j) {
-  Duty::State s;
-  s.began = time_of(j.at("began"));
+LeaderLease::State duty_state(const json& j) {
+  LeaderLease::State s;
+  s.start_time = time_of(j.at("began"));
   for (const auto& r : j.at("rights"))
-    s.rights.push_back({r.at(0).get<fleet::Epoch>(), r.at(1).get<bool>()});
+    s.own_terms.push_back({r.at(0).get<fleet::FencingToken>(), r.at(1).get<bool>()});
   for (const auto& h : j.at("heard"))
-    s.heard.push_back({member_of(h.at(0)), h.at(1).get<fleet::Epoch>(), time_of(h.at(2))});
+    s.known_holders.push_back(
+        {member_of(h.at(0)), h.at(1).get<fleet::FencingToken>(), time_of(h.at(2))});
   if (const auto it = j.find("claim"); it != j.end()) {
     const auto phase = it->at(1).get<int>();
-    if (phase < 0 || phase > static_cast<int>(Duty::Claim::Phase::confirming))
+    if (phase < 0 || phase > static_cast<int>(LeaderLease::Claim::Phase::confirming))
       throw std::runtime_error("a claim's phase that is not known");
-    s.claim = Duty::Claim{it->at(0).get<std::uint64_t>(), Duty::Claim::Phase(phase),
-                          it->at(2).get<double>(), it->at(3).get<bool>()};
+    s.claim = LeaderLease::Claim{it->at(0).get<std::uint64_t>(), LeaderLease::Claim::Phase(phase),
+                                 it->at(2).get<double>(), it->at(3).get<bool>()};
   }
   return s;
 }
@@ -105,7 +108,7 @@
     : timers_(timers), config_(config), callbacks_(owner) {
   std::uint64_t purpose = seed;
   for (const auto& name : config_.names) {
-    Kept k{Duty(config_.duties, name, config_.self, purpose = mix_hash(purpose)), {}, false};
+    Kept k{LeaderLease(config_.duties, name, config_.self, purpose = mix_hash(purpose)), {}, false};
     if (!by_hash_.emplace(k.duty.hash(), duties_.size()).second)
       throw std::invalid_argument("two duties share a name's hash: " + name);
     duties_.push_back(std::move(k));
@@ -125,7 +128,7 @@
   if (predecessor != nullptr) {
     // All is read before anything is taken.
     const auto state = records_state(predecessor->at("records"));
-    std::vector<std::pair<std::size_t, Duty::State>> states;
+    std::vector<std::pair<std::size_t, LeaderLease::State>> states;
     for (const auto& [name, s] : predecessor->at("duties").items())
       for (std::size_t i = 0; i < duties_.size(); ++i)
         if (duties_[i].duty.name() == name) states.emplace_back(i, duty_state(s));
@@ -134,13 +137,13 @@
   }
   started_ = true;
   records_->start(now);
-  for (auto& k : duties_) k.duty.want(now, k.wanted);
+  for (auto& k : duties_) k.duty.set_candidate(now, k.wanted);
   run();
 }
 
 void ClusterState::on_view_changed(const fleet::View& view) {
   const Time now = timers_.now();
-  for (auto& k : duties_) k.duty.view(now, view);
+  for (auto& k : duties_) k.duty.on_view(now, view);
   records_->view(now, view);
   if (started_) run();
 }
@@ -151,7 +154,7 @@
   if (const auto* tell = std::get_if<fleet::DutyTell>(&message.body)) {
     for (const auto& word : tell->words)
       if (const auto* at = find_or_null(by_hash_, word.duty))
-        duties_[*at].duty.heard(now, from, word);
+        duties_[*at].duty.on_announcement(now, from, word);
   } else {
     records_->received(now, from, message);
   }
@@ -160,12 +163,13 @@
 
 void ClusterState::step_down() {
   const Time now = timers_.now();
-  for (auto& k : duties_) k.duty.resign(now);
+  for (auto& k : duties_) k.duty.step_down(now);
   if (started_) run();
 }
 
 bool ClusterState::has_stepped_down() const {
-  return !started_ || std::ranges::all_of(duties_, [](const Kept& k) { return k.duty.resigned(); });
+  return !started_ ||
+         std::ranges::all_of(duties_, [](const Kept& k) { return k.duty.has_stepped_down(); });
 }
 
 json ClusterState::export_state() {
@@ -181,12 +185,12 @@
 void ClusterState::want(std::size_t duty, bool wanted) {
   auto& k = duties_.at(duty);
   if (std::exchange(k.wanted, wanted) == wanted || !started_) return;
-  k.duty.want(timers_.now(), wanted);
+  k.duty.set_candidate(timers_.now(), wanted);
   run();
 }
 
-std::optional<fleet::Epoch> ClusterState::may_act(std::size_t duty) const {
-  return started_ ? duties_.at(duty).duty.may_act(timers_.now()) : std::nullopt;
+std::optional<fleet::FencingToken> ClusterState::may_act(std::size_t duty) const {
+  return started_ ? duties_.at(duty).duty.valid_token_at(timers_.now()) : std::nullopt;
 }
 
 // As seen at the last look, if that still holds.
@@ -200,12 +204,13 @@
   return h;
 }
 
-std::optional<Duty::Holder> ClusterState::holder(std::size_t duty) const {
+std::optional<LeaderLease::Holder> ClusterState::holder(std::size_t duty) const {
   const auto& d = duties_.at(duty).duty;
   const Time now = timers_.now();
   if (const auto mine = may_act(duty))
-    return Duty::Holder{config_.self, *mine, config_.duties.begins(fleet::term_of(*mine) + 1)};
-  return started_ ? d.known(now) : std::nullopt;
+    return LeaderLease::Holder{config_.self, *mine,
+                               config_.duties.term_start(fleet::term_of(*mine) + 1)};
+  return started_ ? d.holder_at(now) : std::nullopt;
 }
 
 void ClusterState::on_records_written() {
@@ -222,7 +227,7 @@
   timers_.cancel(due_);
   if (!started_) return;
   Time due = records_->next();
-  for (const auto& k : duties_) due = std::min(due, k.duty.next());
+  for (const auto& k : duties_) due = std::min(due, k.duty.next_tick_time());
   if (due == Time::max()) return;
   due_ = timers_.at(due, [this] {
     due_.reset();
@@ -232,7 +237,7 @@
 
 void ClusterState::move(Time now) {
   for (std::size_t i = 0; i < duties_.size(); ++i) {
-    if (duties_[i].duty.next() <= now) duties_[i].duty.tick(now);
+    if (duties_[i].duty.next_tick_time() <= now) duties_[i].duty.tick(now);
     carry(i);
     watch(now, duties_[i]);
   }
@@ -244,20 +249,21 @@
 
 void ClusterState::carry(std::size_t duty) {
   auto& d = duties_[duty].duty;
-  for (const auto& call : d.take_calls()) write(duty, call);
-  for (auto& w : d.take_words()) callbacks_.send_datagram(w.to, fleet::DutyTell{{w.word}}, 0);
+  for (const auto& call : d.drain_calls()) write(duty, call);
+  for (auto& w : d.drain_announcements())
+    callbacks_.send_datagram(w.to, fleet::DutyTell{{w.entry}}, 0);
 }
 
 // A call waits for those for quotas, but no longer than would cost its term: they go on for ever on
 // a pressed counter.
-void ClusterState::write(std::size_t duty, const Duty::Call& call) {
+void ClusterState::write(std::size_t duty, const LeaderLease::CounterCall& call) {
   const auto go = [this, alive = alive_, duty, call] {
     if (!*alive || !started_) return;
     callbacks_.add_to_counter(
-        call.name, call.amount, call.life,
-        [this, alive, duty, number = call.number](CounterOutcome outcome, double total) {
+        call.name, call.amount, call.ttl,
+        [this, alive, duty, number = call.id](CounterOutcome outcome, double total) {
           if (!*alive || !started_) return;
-          duties_[duty].duty.answered(timers_.now(), number, outcome, total);
+          duties_[duty].duty.on_counter_reply(timers_.now(), number, outcome, total);
           run();
         });
   };
@@ -267,10 +273,10 @@
 
 // A term that follows one's own without a gap goes on with it; any other right begins anew.
 void ClusterState::watch(Time now, Kept& k) {
-  const auto epoch = k.duty.may_act(now);
+  const auto epoch = k.duty.valid_token_at(now);
   const auto in_between = [&] {  // the seam of two terms, in which nobody acts
-    return k.hold &&
-           now < config_.duties.begins(fleet::term_of(k.hold->epoch) + 1) + config_.duties.clocks;
+    return k.hold && now < config_.duties.term_start(fleet::term_of(k.hold->epoch) + 1) +
+                               config_.duties.max_clock_skew;
   };
   if (!epoch) {
     if (k.hold && !in_between()) k.hold.reset();
@@ -278,20 +284,24 @@
   }
   const bool goes_on = k.hold && (*epoch == k.hold->epoch ||
                                   (fleet::term_of(*epoch) == fleet::term_of(k.hold->epoch) + 1 &&
-                                   *epoch % fleet::kGifts == 0));
+                                   *epoch % fleet::kEpochsPerTerm == 0));
   if (goes_on) return void(k.hold->epoch = *epoch);
   k.hold = Hold{*epoch, *epoch, now};
   log::info("duties", "this node holds " + k.duty.name(), {{"epoch", std::to_string(*epoch)}});
 }
 
-Duty::Figures ClusterState::duty_figures() const {
-  Duty::Figures sum;
+LeaderLease::Stats ClusterState::duty_figures() const {
+  LeaderLease::Stats sum;
   for (const auto& k : duties_) {
-    const auto& f = k.duty.figures();
-    sum.claims += f.claims, sum.won += f.won, sum.lost += f.lost;
-    sum.calls += f.calls, sum.asks += f.asks, sum.refused += f.refused, sum.timeouts += f.timeouts;
-    sum.held += f.held, sum.given += f.given, sum.taken += f.taken;
-    sum.words_out += f.words_out, sum.words_in += f.words_in, sum.words_odd += f.words_odd;
+    const auto& f = k.duty.stats();
+    sum.claims += f.claims, sum.claims_won += f.claims_won, sum.claims_lost += f.claims_lost;
+    sum.calls += f.calls, sum.queries += f.queries, sum.refused += f.refused,
+        sum.timeouts += f.timeouts;
+    sum.terms_acquired += f.terms_acquired, sum.transfers_sent += f.transfers_sent,
+        sum.transfers_accepted += f.transfers_accepted;
+    sum.announcements_sent += f.announcements_sent,
+        sum.announcements_received += f.announcements_received,
+        sum.announcements_ignored += f.announcements_ignored;
   }
   return sum;
 }
@@ -299,7 +309,7 @@
 std::size_t ClusterState::held() const {
   const Time now = timers_.now();
   return static_cast<std::size_t>(std::ranges::count_if(
-      duties_, [&](const Kept& k) { return started_ && k.duty.may_act(now).has_value(); }));
+      duties_, [&](const Kept& k) { return started_ && k.duty.valid_token_at(now).has_value(); }));
 }
 
 json ClusterState::to_json() const {
--- a/src/node/cluster_state.hpp
+++ b/src/node/cluster_state.hpp
@@ -11,14 +11,14 @@
 #include <string>
 #include <vector>
 
-#include "fleet/duty.hpp"
+#include "fleet/leader_lease.hpp"
 #include "fleet/records.hpp"
 #include "net.hpp"
 
 namespace petrelrail {
 
 struct ClusterStateConfig {
-  fleet::DutyTerms duties;
+  fleet::LeaderLeaseConfig duties;
   fleet::RecordTerms records;
   std::vector<std::string> names;  // of the duties, the same at all nodes
   fleet::MemberId self{};
@@ -63,18 +63,18 @@
 
   // `duty` is a position in the configuration's names.
   void want(std::size_t duty, bool wanted);
-  std::optional<fleet::Epoch> may_act(std::size_t duty) const;
+  std::optional<fleet::FencingToken> may_act(std::size_t duty) const;
   // The first of the epochs under which this node has held the duty without a gap until now, and
   // since when.
   struct Hold {
-    fleet::Epoch epoch = 0, since = 0;
+    fleet::FencingToken epoch = 0, since = 0;
     Time began{};
   };
   std::optional<Hold> hold(std::size_t duty) const;
-  std::optional<fleet::Duty::Holder> holder(std::size_t duty) const;
+  std::optional<fleet::LeaderLease::Holder> holder(std::size_t duty) const;
   // Who claims the duty first if it is wanted there.
   std::optional<fleet::MemberId> expected(std::size_t duty) const {
-    return duties_.at(duty).duty.expected();
+    return duties_.at(duty).duty.preferred_claimant();
   }
   // Changes to records go through here, so that what is to be told goes out.
   fleet::Records& records() { return *records_; }
@@ -82,14 +82,14 @@
 
   const ClusterStateConfig& config() const { return config_; }
   const fleet::Records* kept() const { return records_.get(); }
-  fleet::Duty::Figures duty_figures() const;  // summed over all duties
-  std::size_t held() const;                   // duties that this node may act under now
+  fleet::LeaderLease::Stats duty_figures() const;  // summed over all duties
+  std::size_t held() const;                        // duties that this node may act under now
   // For operators: each duty that is held or known of, and what the records hold.
   nlohmann::json to_json() const;
 
  private:
   struct Kept {
-    fleet::Duty duty;
+    fleet::LeaderLease duty;
     std::optional<Hold> hold;
     bool wanted = false;
   };
@@ -97,7 +97,7 @@
   void run();
   void move(Time now);
   void carry(std::size_t duty);
-  void write(std::size_t duty, const fleet::Duty::Call& call);
+  void write(std::size_t duty, const fleet::LeaderLease::CounterCall& call);
   void watch(Time now, Kept& k);
 
   Timers& timers_;
--- a/src/node/coordination.cpp
+++ b/src/node/coordination.cpp
@@ -49,7 +49,7 @@
   const auto ends = std::chrono::ceil<std::chrono::seconds>(
       (now + 2 * facts::kAddressInterval).time_since_epoch());
   cluster_state_.records().put(now, {kAddresses, fleet::index_of(config_.shared.self)},
-                               config_.shared.duties.term_at(now) * fleet::kGifts,
+                               config_.shared.duties.term_at(now) * fleet::kEpochsPerTerm,
                                static_cast<std::uint32_t>(ends.count()), config_.control);
   cluster_state_.on_records_written();
   address_timer_ = timers_.after(facts::kAddressInterval, [this] {
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -45,7 +45,7 @@
   t.shared.self = fleet::MemberId(static_cast<std::uint16_t>(peers.index));
   t.shared.zone = peers.zone;
   t.shared.duties.nodes = t.shared.records.nodes = s.fleet_size;
-  t.shared.duties.clocks = t.shared.duties.counter_timeout = s.counter_timeout;
+  t.shared.duties.max_clock_skew = t.shared.duties.counter_timeout = s.counter_timeout;
   t.shared.records.clocks = s.counter_timeout;
   t.shared.records.term = t.shared.duties.term();
   t.shared.records.spaces = facts::kRecordSpaces;
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -109,13 +109,13 @@
   const auto stats = state.duty_figures();
   out.gauge("duties_held", state.held());
   out.counter("duties_claims", stats.claims);
-  out.counter("duties_won", stats.won);
-  out.counter("duties_lost", stats.lost);
-  out.counter("duties_calls", stats.calls + stats.asks);
+  out.counter("duties_won", stats.claims_won);
+  out.counter("duties_lost", stats.claims_lost);
+  out.counter("duties_calls", stats.calls + stats.queries);
   out.counter("duties_timeouts", stats.timeouts);
-  out.counter("duties_terms", stats.held);
-  out.counter("duties_given", stats.given);
-  out.counter("duties_taken", stats.taken);
+  out.counter("duties_terms", stats.terms_acquired);
+  out.counter("duties_given", stats.transfers_sent);
+  out.counter("duties_taken", stats.transfers_accepted);
 }
 
 void write_records(MetricsText& out, const ClusterState& state, Time now) {
--- a/src/world/duty_cases.cpp
+++ b/src/world/duty_cases.cpp
@@ -23,7 +23,7 @@
   }
   DutyFleet& fleet() { return fleet_; }
   Dice& dice() { return dice_; }
-  Duration term() const { return fleet::DutyTerms{}.term(); }
+  Duration term() const { return fleet::LeaderLeaseConfig{}.term_duration(); }
   const DutyCaseTerms& terms() const { return terms_; }
   // Any moment of a term.
   std::uint32_t holder_some_time() {
@@ -141,11 +141,11 @@
   for (std::uint32_t i = 0; i < t.times; ++i) {
     auto holder = p.holder_some_time();
     for (int twice = 0; twice < 2; ++twice) {
-      const auto calls = [&] { return p.fleet().duty(holder)->figures().calls; };
+      const auto calls = [&] { return p.fleet().duty(holder)->stats().calls; };
       const auto before = calls();
       p.fleet().run_until([&] { return calls() > before; }, 5s);
       p.fleet().stall(holder, true);
-      p.fleet().at(p.fleet().now() + scaled(fleet::DutyTerms{}.life, 1.01),
+      p.fleet().at(p.fleet().now() + scaled(fleet::LeaderLeaseConfig{}.failover_time, 1.01),
                    [&f = p.fleet(), holder] { f.stall(holder, false); });
       p.measure(p.terms().nodes);
       p.fleet().run_until([&] { return p.fleet().acting().has_value(); }, kMost);
--- a/src/world/duty_explorer.cpp
+++ b/src/world/duty_explorer.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using fleet::Duty;
+using fleet::LeaderLease;
 using fleet::MemberId;
 
 constexpr std::uint64_t kTerm = 850'000'000;  // any
@@ -33,13 +33,14 @@
 };
 
 struct Node {
-  std::shared_ptr<const Duty> duty;  // shared by the states in which it is the same; null: crashed
+  std::shared_ptr<const LeaderLease>
+      duty;  // shared by the states in which it is the same; null: crashed
   std::uint32_t lives = 1;
   bool paused = false;
   std::uint64_t call = 0;  // waited for; 0: none
   Time called{};
-  fleet::Epoch effect = 0;  // looked at its clock, and is about to
-  fleet::Epoch looked = 0;  // last epoch of an effect
+  fleet::FencingToken effect = 0;  // looked at its clock, and is about to
+  fleet::FencingToken looked = 0;  // last epoch of an effect
 };
 
 struct Course {
@@ -47,8 +48,8 @@
   std::vector<Node> nodes;
   std::vector<InFlight> flights;
   std::map<std::string, double> counter;
-  fleet::Fence fence;
-  fleet::Epoch newest = 0;
+  fleet::FencingCheck fence;
+  fleet::FencingToken newest = 0;
   std::uint32_t newest_from = 0;
   std::uint32_t timeouts = 0, repeats = 0, pauses = 0, crashes = 0, resigns = 0, empties = 0;
   std::uint32_t depth = 0;
@@ -79,7 +80,7 @@
     if (b.nodes == 0 || b.nodes > kMostNodes)
       throw std::invalid_argument("explorer: from 1 to " + std::to_string(kMostNodes) + " nodes");
     terms_.nodes = b.nodes;
-    end_ = terms_.begins(kTerm) + scaled(terms_.term(), b.terms);
+    end_ = terms_.term_start(kTerm) + scaled(terms_.term_duration(), b.terms);
   }
 
   DutyExplored run() {
@@ -123,7 +124,7 @@
 
  private:
   Duration skew(std::uint32_t node) const {
-    const auto off = terms_.clocks / 2;
+    const auto off = terms_.max_clock_skew / 2;
     return (node == 0) == bounds_.behind ? -off : off;
   }
   Time local(const Course& c, std::uint32_t node) const { return c.now + skew(node); }
@@ -135,26 +136,26 @@
     v.seats = std::move(seats);
     return v;
   }
-  Duty duty(std::uint32_t node, std::uint32_t life) const {
-    return Duty(terms_, "book", MemberId(static_cast<std::uint16_t>(node)),
-                mix_hash(bounds_.seed + node * 16 + life), bounds_.broken);
+  LeaderLease duty(std::uint32_t node, std::uint32_t life) const {
+    return LeaderLease(terms_, "book", MemberId(static_cast<std::uint16_t>(node)),
+                       mix_hash(bounds_.seed + node * 16 + life), bounds_.broken);
   }
 
   // Node 0 holds the first term, all know it, all have been there for long.
   Course first() const {
     Course c;
-    c.now = terms_.begins(kTerm) + 2 * terms_.clocks;
-    const auto epoch = kTerm * fleet::kGifts;
-    const Duty::Holder holder{MemberId(0), epoch, terms_.begins(kTerm + 1)};
+    c.now = terms_.term_start(kTerm) + 2 * terms_.max_clock_skew;
+    const auto epoch = kTerm * fleet::kEpochsPerTerm;
+    const LeaderLease::Holder holder{MemberId(0), epoch, terms_.term_start(kTerm + 1)};
     for (std::uint32_t n = 0; n < bounds_.nodes; ++n) {
       auto d = duty(n, 0);
-      Duty::State s{terms_.begins(kTerm - 2), {}, {}, {}};
-      if (bounds_.held) s.heard.push_back(holder);
-      if (n == 0 && bounds_.held) s.rights.push_back({epoch, true});
+      LeaderLease::State s{terms_.term_start(kTerm - 2), {}, {}, {}};
+      if (bounds_.held) s.known_holders.push_back(holder);
+      if (n == 0 && bounds_.held) s.own_terms.push_back({epoch, true});
       d.take_over(local(c, n), s);
-      d.view(local(c, n), view());
-      d.want(local(c, n), true);
-      c.nodes.push_back({std::make_shared<const Duty>(std::move(d))});
+      d.on_view(local(c, n), view());
+      d.set_candidate(local(c, n), true);
+      c.nodes.push_back({std::make_shared<const LeaderLease>(std::move(d))});
     }
     return c;
   }
@@ -165,8 +166,8 @@
     for (std::uint32_t n = 0; n < c.nodes.size(); ++n) {
       const auto& node = c.nodes[n];
       if (!node.duty || node.paused) continue;
-      if (node.duty->next() != Time::max())
-        t = std::min(t, std::max(node.duty->next() - skew(n), c.now + 1ns));
+      if (node.duty->next_tick_time() != Time::max())
+        t = std::min(t, std::max(node.duty->next_tick_time() - skew(n), c.now + 1ns));
       if (node.call != 0 && c.timeouts < bounds_.timeouts &&
           node.called + terms_.counter_timeout > c.now)
         t = std::min(t, node.called + terms_.counter_timeout);
@@ -200,7 +201,7 @@
           c.now >= node.called + terms_.counter_timeout)
         all.push_back({What::timeout, n});
       if (bounds_.effects && node.effect != 0) all.push_back({What::act, n});
-      const auto epoch = node.duty->may_act(local(c, n));
+      const auto epoch = node.duty->valid_token_at(local(c, n));
       if (bounds_.effects && epoch && node.effect == 0 && node.looked != *epoch)
         all.push_back({What::look, n});
       if (c.pauses < bounds_.pauses) all.push_back({What::pause, n});
@@ -216,19 +217,19 @@
   template <class Change>
   void change(Course& c, std::uint32_t n, const Change& change_it) const {
     auto& node = c.nodes[n];
-    auto d = std::make_shared<Duty>(*node.duty);
+    auto d = std::make_shared<LeaderLease>(*node.duty);
     change_it(*d, local(c, n));
     collect(c, n, *d);
     node.duty = std::move(d);
   }
-  void collect(Course& c, std::uint32_t n, Duty& d) const {
-    for (auto& call : d.take_calls()) {
-      c.nodes[n].call = call.number, c.nodes[n].called = c.now;
+  void collect(Course& c, std::uint32_t n, LeaderLease& d) const {
+    for (auto& call : d.drain_calls()) {
+      c.nodes[n].call = call.id, c.nodes[n].called = c.now;
       c.flights.push_back(
-          {InFlight::Kind::call, n, call.number, std::move(call.name), call.amount, 0, {}});
+          {InFlight::Kind::call, n, call.id, std::move(call.name), call.amount, 0, {}});
     }
-    for (const auto& w : d.take_words()) {
-      InFlight f{InFlight::Kind::word, static_cast<std::uint32_t>(w.to), 0, {}, 0, n, w.word};
+    for (const auto& w : d.drain_announcements()) {
+      InFlight f{InFlight::Kind::word, static_cast<std::uint32_t>(w.to), 0, {}, 0, n, w.entry};
       if (bounds_.words && std::ranges::find(c.flights, f) == c.flights.end())
         c.flights.push_back(std::move(f));
     }
@@ -241,13 +242,14 @@
       case What::advance: {
         c.now = *due(c);
         // Words of terms that are over are passed over by all.
-        const auto term = terms_.term_at(c.now - terms_.clocks);
+        const auto term = terms_.term_at(c.now - terms_.max_clock_skew);
         std::erase_if(c.flights, [&](const InFlight& f) {
           return f.kind == InFlight::Kind::word && fleet::term_of(f.word.epoch) < term;
         });
         for (std::uint32_t i = 0; i < c.nodes.size(); ++i)
-          if (c.nodes[i].duty && !c.nodes[i].paused && c.nodes[i].duty->next() <= local(c, i))
-            change(c, i, [](Duty& d, Time now) { d.tick(now); });
+          if (c.nodes[i].duty && !c.nodes[i].paused &&
+              c.nodes[i].duty->next_tick_time() <= local(c, i))
+            change(c, i, [](LeaderLease& d, Time now) { d.tick(now); });
         break;
       }
       case What::deliver:
@@ -267,8 +269,8 @@
       case What::pause: ++c.pauses, c.nodes[n].paused = true; break;
       case What::wake:
         c.nodes[n].paused = false;
-        if (c.nodes[n].duty->next() <= local(c, n))
-          change(c, n, [](Duty& d, Time now) { d.tick(now); });
+        if (c.nodes[n].duty->next_tick_time() <= local(c, n))
+          change(c, n, [](LeaderLease& d, Time now) { d.tick(now); });
         break;
       case What::crash:
         ++c.crashes;
@@ -279,18 +281,18 @@
         break;
       case What::restart: {
         auto d = duty(n, c.nodes[n].lives);
-        d.view(local(c, n), view());
-        d.want(local(c, n), true);
-        c.nodes[n] = {std::make_shared<const Duty>(std::move(d)), c.nodes[n].lives + 1};
+        d.on_view(local(c, n), view());
+        d.set_candidate(local(c, n), true);
+        c.nodes[n] = {std::make_shared<const LeaderLease>(std::move(d)), c.nodes[n].lives + 1};
         break;
       }
       case What::resign:
         ++c.resigns;
-        change(c, n, [](Duty& d, Time now) { d.resign(now); });
+        change(c, n, [](LeaderLease& d, Time now) { d.step_down(now); });
         break;
       case What::empty: ++c.empties, c.counter.clear(); break;
       case What::look:
-        c.nodes[n].effect = c.nodes[n].looked = *c.nodes[n].duty->may_act(local(c, n));
+        c.nodes[n].effect = c.nodes[n].looked = *c.nodes[n].duty->valid_token_at(local(c, n));
         break;
       case What::act: return act(c, n);
     }
@@ -308,8 +310,8 @@
       }
       case InFlight::Kind::answer: told(c, f.node, f.number, CounterOutcome::ok, f.amount); break;
       case InFlight::Kind::word:
-        change(c, f.node, [&](Duty& d, Time now) {
-          d.heard(now, MemberId(static_cast<std::uint16_t>(f.from)), f.word);
+        change(c, f.node, [&](LeaderLease& d, Time now) {
+          d.on_announcement(now, MemberId(static_cast<std::uint16_t>(f.from)), f.word);
         });
         break;
     }
@@ -321,7 +323,8 @@
     std::erase_if(c.flights, [&](const InFlight& f) {
       return f.kind == InFlight::Kind::answer && f.node == n && f.number == number;
     });
-    change(c, n, [&](Duty& d, Time now) { d.answered(now, number, outcome, total); });
+    change(c, n,
+           [&](LeaderLease& d, Time now) { d.on_counter_reply(now, number, outcome, total); });
   }
 
   std::string act(Course& c, std::uint32_t n) const {
@@ -337,7 +340,7 @@
   std::string judge(const Course& c) const {
     std::uint32_t acting = 0;
     for (std::uint32_t n = 0; n < c.nodes.size(); ++n)
-      if (c.nodes[n].duty && c.nodes[n].duty->may_act(local(c, n))) ++acting;
+      if (c.nodes[n].duty && c.nodes[n].duty->valid_token_at(local(c, n))) ++acting;
     return acting > 1 ? "two may act at one time" : "";
   }
 
@@ -366,7 +369,7 @@
     }
     add(flights);
     for (const auto& [name, total] : c.counter) add(text_hash(name), total);
-    add(c.newest, c.newest_from, c.fence.seen(), c.timeouts, c.repeats, c.pauses, c.crashes,
+    add(c.newest, c.newest_from, c.fence.newest_epoch(), c.timeouts, c.repeats, c.pauses, c.crashes,
         c.resigns, c.empties);
     return h;
   }
@@ -382,7 +385,7 @@
       auto text = say(c, s);
       take(c, s);
       char at[32];
-      std::snprintf(at, sizeof at, "%.3f s: ", seconds(c.now - terms_.begins(kTerm)));
+      std::snprintf(at, sizeof at, "%.3f s: ", seconds(c.now - terms_.term_start(kTerm)));
       lines.push_back(at + text);
     }
     return lines;
@@ -403,8 +406,9 @@
                  " by " + who + (f.amount == 0 ? " (asks)" : "");
         if (f.kind == InFlight::Kind::answer)
           return who + " is answered " + std::to_string(static_cast<long>(f.amount));
-        return who + " hears of epoch " + std::to_string(f.word.epoch - kTerm * fleet::kGifts) +
-               " by node " + std::to_string(f.from) + (f.word.given ? ", given to it" : "") + again;
+        return who + " hears of epoch " +
+               std::to_string(f.word.epoch - kTerm * fleet::kEpochsPerTerm) + " by node " +
+               std::to_string(f.from) + (f.word.given ? ", given to it" : "") + again;
       }
       case What::timeout: return node + " waits for the counter no more";
       case What::pause: return node + " pauses";
@@ -424,7 +428,7 @@
     Step step;
   };
   DutyBounds bounds_;
-  fleet::DutyTerms terms_;
+  fleet::LeaderLeaseConfig terms_;
   Time end_{};
   std::unordered_set<std::uint64_t> seen_;
   std::vector<Entry> log_;
--- a/src/world/duty_explorer.hpp
+++ b/src/world/duty_explorer.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/duty.hpp"
+#include "fleet/leader_lease.hpp"
 
 namespace petrelrail::world {
 
@@ -26,7 +26,7 @@
   // round.
   bool behind = true;
   bool fenced = true;
-  fleet::DutyBroken broken{};
+  fleet::LeaseViolation broken{};
   std::uint64_t seed = 1;
 };
 
--- a/src/world/duty_fleet.cpp
+++ b/src/world/duty_fleet.cpp
@@ -92,8 +92,8 @@
 
 void DutyFleet::end(Process& p) {
   for (const auto& d : p.duties) {
-    gone_.claims += d.figures().claims, gone_.words += d.figures().words_out;
-    gone_.terms += d.figures().held, gone_.given += d.figures().given;
+    gone_.claims += d.stats().claims, gone_.words += d.stats().announcements_sent;
+    gone_.terms += d.stats().terms_acquired, gone_.given += d.stats().transfers_sent;
   }
   std::erase_if(processes_, [&](const auto& o) { return o.get() == &p; });
 }
@@ -108,7 +108,7 @@
   auto& p = add(node, true, scaled(options_.clocks, part));
   show(p);
   for (std::size_t d = 0; d < p.duties.size(); ++d) {
-    p.duties[d].want(local(p), wanted_);
+    p.duties[d].set_candidate(local(p), wanted_);
     after(p, d);
   }
 }
@@ -133,7 +133,7 @@
   if (stalled) return;
   const auto id = p->id;
   for (std::size_t d = 0; d < p->duties.size(); ++d) {
-    if (p->duties[d].next() <= local(*p)) p->duties[d].tick(local(*p));
+    if (p->duties[d].next_tick_time() <= local(*p)) p->duties[d].tick(local(*p));
     after(*p, d);
   }
   for (auto& what : std::exchange(p->waits, {}))
@@ -147,7 +147,7 @@
   if (members_) members_->leave(node);
   in(p->id, [this](Process& process) {
     for (std::size_t d = 0; d < process.duties.size(); ++d) {
-      process.duties[d].resign(local(process));
+      process.duties[d].step_down(local(process));
       after(process, d);
     }
   });
@@ -169,7 +169,7 @@
   });
   show(p);
   for (std::size_t d = 0; d < p.duties.size(); ++d) {
-    p.duties[d].want(local(p), wanted_);
+    p.duties[d].set_candidate(local(p), wanted_);
     after(p, d);
   }
 }
@@ -178,7 +178,7 @@
   auto& p = add(node, false, {});
   show(p);
   for (std::size_t d = 0; d < p.duties.size(); ++d) {
-    p.duties[d].want(local(p), wanted_);
+    p.duties[d].set_candidate(local(p), wanted_);
     after(p, d);
   }
 }
@@ -187,7 +187,7 @@
   wanted_ = wanted;
   for (auto& p : processes_)
     for (std::size_t d = 0; d < p->duties.size(); ++d) {
-      p->duties[d].want(local(*p), wanted);
+      p->duties[d].set_candidate(local(*p), wanted);
       after(*p, d);
     }
 }
@@ -208,13 +208,15 @@
 // What a process has to say goes out, and its next tick is set.
 void DutyFleet::after(Process& p, std::size_t d) {
   auto& duty = p.duties[d];
-  for (const auto& c : duty.take_calls()) {
+  for (const auto& c : duty.drain_calls()) {
     const auto waits = options_.busy > 0ns ? scaled(options_.busy, dice_.part()) : Duration{};
     at(now() + waits,
        [this, id = p.id, d, c] { in(id, [this, id, d, c](Process&) { write(id, d, c); }); });
   }
-  for (const auto& w : duty.take_words()) send(p, d, w);
-  const Time due = duty.next() == Time::max() ? Time::max() : std::max(duty.next() - p.skew, now());
+  for (const auto& w : duty.drain_announcements()) send(p, d, w);
+  const Time due = duty.next_tick_time() == Time::max()
+                       ? Time::max()
+                       : std::max(duty.next_tick_time() - p.skew, now());
   if (due >= p.ticks[d] && p.ticks[d] > now()) return;
   p.ticks[d] = due;
   if (due == Time::max()) return;
@@ -227,11 +229,11 @@
   });
 }
 
-void DutyFleet::write(std::uint64_t id, std::size_t d, const fleet::Duty::Call& c) {
+void DutyFleet::write(std::uint64_t id, std::size_t d, const fleet::LeaderLease::CounterCall& c) {
   const auto node = by_id(id)->node;
-  const auto answer = [this, id, d, number = c.number](CounterOutcome outcome, double total) {
+  const auto answer = [this, id, d, number = c.id](CounterOutcome outcome, double total) {
     in(id, [this, d, number, outcome, total](Process& p) {
-      p.duties[d].answered(local(p), number, outcome, total);
+      p.duties[d].on_counter_reply(local(p), number, outcome, total);
       after(p, d);
     });
   };
@@ -244,7 +246,7 @@
   if (cut_of(node).to_counter) return;
   const auto way = [this] { return dice_.seconds_in(options_.network.cross_zone_ms) / 1000; };
   at(now() + way(), [this, node, c, told, answer, way] {
-    const auto a = counter_.call(now(), {c.name, c.amount, c.life});
+    const auto a = counter_.call(now(), {c.name, c.amount, c.ttl});
     if (a.kind == Counter::Answer::Kind::none || cut_of(node).from_counter) return;
     at(a.at + way(), [told, answer, a] {
       if (std::exchange(*told, true)) return;
@@ -258,11 +260,11 @@
   });
 }
 
-void DutyFleet::send(const Process& p, std::size_t d, const fleet::Duty::Word& w) {
+void DutyFleet::send(const Process& p, std::size_t d, const fleet::LeaderLease::Announcement& w) {
   const auto to = static_cast<std::uint32_t>(w.to);
   if (to >= size() || cut_of(p.node).to_peers || cut_of(to).from_peers) return;
   for (const Time when : network_.send(now()))
-    at(when, [this, from = p.node, to, d, word = w.word] {
+    at(when, [this, from = p.node, to, d, word = w.entry] {
       auto* receiver = process_of(to);
       if (receiver == nullptr) return;
       auto& came = came_[to];
@@ -271,7 +273,8 @@
       totals_.most_in = std::max<std::uint64_t>(totals_.most_in, came.size());
       if (!network_.take(now(), to)) return;
       in(receiver->id, [this, from, d, word](Process& q) {
-        q.duties[d].heard(local(q), fleet::MemberId(static_cast<std::uint16_t>(from)), word);
+        q.duties[d].on_announcement(local(q), fleet::MemberId(static_cast<std::uint16_t>(from)),
+                                    word);
         after(q, d);
       });
     });
@@ -320,7 +323,7 @@
   }
   p.view = view.version;
   for (std::size_t d = 0; d < p.duties.size(); ++d) {
-    p.duties[d].view(local(p), view);
+    p.duties[d].on_view(local(p), view);
     after(p, d);
   }
 }
@@ -335,7 +338,7 @@
 void DutyFleet::judge(std::size_t d) {
   const Process* acts = nullptr;
   for (const auto& p : processes_) {
-    const auto epoch = p->duties[d].may_act(local(*p));
+    const auto epoch = p->duties[d].valid_token_at(local(*p));
     if (!epoch) continue;
     // One that stalls may wake at this very moment.
     if (acts != nullptr)
@@ -352,7 +355,7 @@
   }
 }
 
-void DutyFleet::effect(const Process& p, std::size_t d, fleet::Epoch epoch) {
+void DutyFleet::effect(const Process& p, std::size_t d, fleet::FencingToken epoch) {
   for (std::size_t r = 0; r < kReceivers; ++r) {
     auto late = dice_.seconds_in(options_.peers.delay_ms) / 1000;
     if (dice_.chance(0.01)) late += scaled(3s, dice_.part());
@@ -362,7 +365,7 @@
 }
 
 void DutyFleet::receive(std::size_t d, std::size_t receiver, std::uint64_t id, std::uint32_t node,
-                        fleet::Epoch epoch) {
+                        fleet::FencingToken epoch) {
   auto& r = judges_[d].receivers[receiver];
   if (options_.fenced &&
       !r.fence.passes(epoch, fleet::MemberId(static_cast<std::uint16_t>(node)))) {
@@ -385,11 +388,11 @@
 
 std::optional<std::uint32_t> DutyFleet::acting(std::size_t d) const {
   for (const auto& p : processes_)
-    if (!p->stalled && p->duties[d].may_act(local(*p))) return p->node;
+    if (!p->stalled && p->duties[d].valid_token_at(local(*p))) return p->node;
   return std::nullopt;
 }
 std::optional<Time> DutyFleet::acted(std::size_t d) const { return judges_[d].acted; }
-const fleet::Duty* DutyFleet::duty(std::uint32_t node, std::size_t d) const {
+const fleet::LeaderLease* DutyFleet::duty(std::uint32_t node, std::size_t d) const {
   const auto* p = process_of(node);
   return p != nullptr ? &p->duties[d] : nullptr;
 }
@@ -399,8 +402,8 @@
   t.claims += gone_.claims, t.words += gone_.words, t.terms += gone_.terms, t.given += gone_.given;
   for (const auto& p : processes_)
     for (const auto& d : p->duties) {
-      t.claims += d.figures().claims, t.words += d.figures().words_out;
-      t.terms += d.figures().held, t.given += d.figures().given;
+      t.claims += d.stats().claims, t.words += d.stats().announcements_sent;
+      t.terms += d.stats().terms_acquired, t.given += d.stats().transfers_sent;
     }
   return t;
 }
--- a/src/world/duty_fleet.hpp
+++ b/src/world/duty_fleet.hpp
@@ -12,7 +12,7 @@
 #include "agenda.hpp"
 #include "counter.hpp"
 #include "dice.hpp"
-#include "fleet/duty.hpp"
+#include "fleet/leader_lease.hpp"
 #include "member_fleet.hpp"
 #include "peers.hpp"
 
@@ -23,9 +23,9 @@
   struct Options {
     std::uint32_t nodes = 300, zones = 3;
     std::vector<std::string> duties{"book"};
-    fleet::DutyTerms
+    fleet::LeaderLeaseConfig
         terms{};  // `nodes` and `counter_timeout` follow from here and from the counter
-    fleet::DutyBroken broken{};
+    fleet::LeaseViolation broken{};
     PeerTerms peers{};
     CounterTerms counter{};
     NetworkTerms network{};
@@ -70,7 +70,7 @@
   // The node that may act at this moment and does not stall.
   std::optional<std::uint32_t> acting(std::size_t duty = 0) const;
   std::optional<Time> acted(std::size_t duty = 0) const;  // latest
-  const fleet::Duty* duty(std::uint32_t node, std::size_t duty = 0) const;
+  const fleet::LeaderLease* duty(std::uint32_t node, std::size_t duty = 0) const;
   bool up(std::uint32_t node) const { return process_of(node) != nullptr; }
 
   struct Totals {
@@ -88,14 +88,14 @@
     std::uint32_t node = 0;
     Duration skew{};
     bool stalled = false;
-    std::vector<fleet::Duty> duties;
+    std::vector<fleet::LeaderLease> duties;
     std::vector<Time> ticks;                   // true time for which a tick is set, by duty
     std::vector<std::function<void()>> waits;  // what came while it stalled
     std::uint64_t view = ~0ULL;                // version that it was shown
   };
   struct Receiver {
-    fleet::Fence fence;
-    fleet::Epoch newest = 0;
+    fleet::FencingCheck fence;
+    fleet::FencingToken newest = 0;
     std::uint64_t holder = 0;  // process that the newest was taken from
     std::uint32_t holder_node = 0;
   };
@@ -112,16 +112,16 @@
   // Runs it now, or when the process wakes; not at all where that is gone.
   void in(std::uint64_t id, const std::function<void(Process&)>& what);
   void after(Process& p, std::size_t duty);
-  void write(std::uint64_t id, std::size_t duty, const fleet::Duty::Call& call);
-  void send(const Process& p, std::size_t duty, const fleet::Duty::Word& word);
+  void write(std::uint64_t id, std::size_t duty, const fleet::LeaderLease::CounterCall& call);
+  void send(const Process& p, std::size_t duty, const fleet::LeaderLease::Announcement& word);
   void look();
   void views();
   const fleet::View& common();
   void show(Process& p);
   void judge(std::size_t duty);
-  void effect(const Process& p, std::size_t duty, fleet::Epoch epoch);
+  void effect(const Process& p, std::size_t duty, fleet::FencingToken epoch);
   void receive(std::size_t duty, std::size_t receiver, std::uint64_t id, std::uint32_t node,
-               fleet::Epoch epoch);
+               fleet::FencingToken epoch);
   void breach(std::string what);
   const Cut& cut_of(std::uint32_t node) const { return cuts_[node]; }
 
--- a/src/world/duty_worlds.cpp
+++ b/src/world/duty_worlds.cpp
@@ -44,7 +44,8 @@
     b.crashes = 1, b.resigns = 2, b.repeats = 1;
     b.timeouts = 0, b.pauses = 0, b.empties = 0, b.terms = 0.3;
   });
-  world("broken: no margin", true, [](DutyBounds& b) { b.broken.no_margin = true, b.nodes = 2; });
+  world("broken: no margin", true,
+        [](DutyBounds& b) { b.broken.no_skew_margin = true, b.nodes = 2; });
   world("broken: claims count after the close", true,
         [](DutyBounds& b) { b.broken.late_claims = true, b.nodes = 2, b.timeouts = 0; });
   world("broken: no confirmation", true,
@@ -55,13 +56,13 @@
   // Too many states for a test, which looks at the amounts instead.
   if (full)
     world("broken: amounts of which sums are another's", true, [](DutyBounds& b) {
-      b.broken.plain_amounts = true, b.held = false, b.words = false, b.pauses = 0;
+      b.broken.ambiguous_amounts = true, b.held = false, b.words = false, b.pauses = 0;
     });
   world("broken: no fence at receivers", true, [](DutyBounds& b) {
     b.fenced = false, b.effects = true, b.nodes = 2, b.timeouts = 0, b.empties = 0;
   });
   world("broken: gifts taken by a later process", true, [](DutyBounds& b) {
-    b.broken.old_gifts = true, b.resigns = 2, b.crashes = 1, b.repeats = 1;
+    b.broken.stale_transfers = true, b.resigns = 2, b.crashes = 1, b.repeats = 1;
     b.timeouts = 0, b.pauses = 0, b.empties = 0, b.terms = 1;
   });
   return all;
