--- a/src/node/job_service.cpp
+++ b/src/node/job_service.cpp
@@ -14,8 +14,8 @@
 using namespace reading;
 using fleet::JobId;
 using fleet::JobReply;
-using fleet::LineOutcome;
 using fleet::ShardId;
+using fleet::TaskOutcome;
 
 constexpr std::string_view kPath = "/jobs";
 constexpr std::size_t kIdDigits = sizeof "00000000000000" - 1;    // 56 bits
@@ -57,9 +57,9 @@
 }
 
 // What a call waits for a shard to be held is what its caller may wait.
-fleet::JobTerms terms() {
-  fleet::JobTerms t;
-  t.waits = facts::kControlWait - facts::kControlCall;
+fleet::JobConfig terms() {
+  fleet::JobConfig t;
+  t.max_lease_wait = facts::kControlWait - facts::kControlCall;
   return t;
 }
 
@@ -80,21 +80,21 @@
   s.plan = text(j, "plan"), s.request_class = text(j, "class"), s.path = text(j, "path");
   if (const auto* units = optional_field(j, "units")) {
     const double thousandths = std::round(number_of(*units, "units") * std::milli::den);
-    if (!(thousandths >= 1 && thousandths <= fleet::kMostUnits))
+    if (!(thousandths >= 1 && thousandths <= fleet::kMaxMilliunits))
       fail_field("units", "above 0 and at most 1000");
-    s.units = static_cast<std::uint32_t>(thousandths);
+    s.milliunits = static_cast<std::uint32_t>(thousandths);
   }
-  s.ends = uint32(j, "ends");
+  s.end_unix_s = uint32(j, "ends");
   const auto *range = optional_field(j, "range"), *keys = optional_field(j, "keys");
   if ((range != nullptr) == (keys != nullptr))
     throw FieldError("just one of 'range' and 'keys' is needed");
   if (range != nullptr) {
     object_of(*range, "range");
-    s.lines = fleet::JobRange{natural_of(field(*range, "first"), "first"), uint32(*range, "count")};
+    s.tasks = fleet::JobRange{natural_of(field(*range, "first"), "first"), uint32(*range, "count")};
   } else {
     std::vector<std::string> all;
     for (const auto& k : list_of(*keys, "keys")) all.push_back(text_of(k, "keys"));
-    s.lines = std::move(all);
+    s.tasks = std::move(all);
   }
   return s;
 }
@@ -107,11 +107,11 @@
   bool client_is_connected() override { return desk_ != nullptr; }
 
   void send(const Response& a) override {
-    if (a.status == http::status::ok) return over({LineOutcome::Kind::served, a.body, {}});
+    if (a.status == http::status::ok) return over({TaskOutcome::Kind::served, a.body, {}});
     if (a.status == http::status::too_many_requests ||
         a.status == http::status::service_unavailable)
-      return over({LineOutcome::Kind::refused, {}, a.retry_after});
-    over({LineOutcome::Kind::unknown, {}, {}});
+      return over({TaskOutcome::Kind::rejected, {}, a.retry_after});
+    over({TaskOutcome::Kind::unknown, {}, {}});
   }
   void begin_stream(const ResponseHead&) override {}
   void write_chunk(std::string_view piece, std::function<void()> taken) override {
@@ -120,13 +120,13 @@
     taken();
   }
   void end_stream() override {
-    if (too_long_) return over({LineOutcome::Kind::failed, {}, {}});
-    over({LineOutcome::Kind::served, std::move(body_), {}});
+    if (too_long_) return over({TaskOutcome::Kind::failed, {}, {}});
+    over({TaskOutcome::Kind::served, std::move(body_), {}});
   }
-  void abort() override { over({LineOutcome::Kind::unknown, {}, {}}); }
+  void abort() override { over({TaskOutcome::Kind::unknown, {}, {}}); }
 
  private:
-  void over(LineOutcome outcome) {
+  void over(TaskOutcome outcome) {
     if (auto* desk = std::exchange(desk_, nullptr)) desk->line_ended(token_, std::move(outcome));
   }
   JobService* desk_;  // none: nobody waits any more
@@ -168,7 +168,7 @@
   try {
     const auto spec = job_of(ask.body);
     ++stats_.handed_in;
-    jobs_.hand_in(timers_.now(), wait(ask, answered), spec);
+    jobs_.submit(timers_.now(), wait(ask, answered), spec);
   } catch (const FieldError& x) {
     answered(why(http::status::bad_request, x.what()));
   }
@@ -205,7 +205,7 @@
     if (ask.method != "GET") return not_by("GET");
     const auto text = ask.parameter("from");
     const auto from = number_in(text.value_or("0"), 10);
-    if (!from || *from > fleet::kMostLines)
+    if (!from || *from > fleet::kMaxTasks)
       return answered(why(http::status::bad_request, "from: a line's number is needed")), true;
     jobs_.fetch(now, wait(ask, answered), JobId(*id), static_cast<std::uint32_t>(*from));
     return run(), true;
@@ -224,13 +224,16 @@
 AdminServer::AdminResponse JobService::described(JobId id, const fleet::JobState& state) const {
   json counts = json::object(), runs = json::array();
   for (std::size_t s = 0; s < state.counts.size(); ++s)
-    if (state.counts[s] > 0) counts[fleet::name_of(fleet::LineState(s))] = state.counts[s];
+    if (state.counts[s] > 0) counts[fleet::name_of(fleet::TaskState(s))] = state.counts[s];
   for (const auto& r : state.runs)
     runs.push_back({{"first", r.first}, {"count", r.count}, {"state", fleet::name_of(r.state)}});
-  json j = {{"id", id_text(id)},          {"state", fleet::name_of(state.kind)},
-            {"lines", std::move(counts)}, {"runs", std::move(runs)},
-            {"told", state.marks.told},   {"rerun", state.marks.rerun},
-            {"here", state.held}};
+  json j = {{"id", id_text(id)},
+            {"state", fleet::name_of(state.kind)},
+            {"lines", std::move(counts)},
+            {"runs", std::move(runs)},
+            {"told", state.watermarks.delivered},
+            {"rerun", state.watermarks.rerun_count},
+            {"here", state.is_held}};
   if (const auto holder = shared_.holder(duty(fleet::shard_of(id))))
     j["holder"] = fleet::index_of(holder->node), j["epoch"] = holder->epoch;
   return told(http::status::ok, std::move(j));
@@ -241,22 +244,22 @@
   if (!node) return;
   const auto& w = node.mapped();
   const auto send = [&](http::status status, json extra = json::object()) {
-    if (!reply.text.empty()) extra["why"] = reply.text;
+    if (!reply.message.empty()) extra["why"] = reply.message;
     w.answered(told(status, std::move(extra)));
   };
   const json id = {{"id", id_text(reply.id)}};
   switch (reply.kind) {
     case JobReply::Kind::accepted: return send(http::status::accepted, id);
     case JobReply::Kind::removed: return send(http::status::ok, id);
-    case JobReply::Kind::bad: return send(http::status::bad_request);
-    case JobReply::Kind::unknown: return send(http::status::not_found);
+    case JobReply::Kind::invalid: return send(http::status::bad_request);
+    case JobReply::Kind::not_found: return send(http::status::not_found);
     case JobReply::Kind::conflict: return send(http::status::conflict);
-    case JobReply::Kind::let_go: return send(http::status::gone, {{"next", reply.next}});
+    case JobReply::Kind::trimmed: return send(http::status::gone, {{"next", reply.next}});
     case JobReply::Kind::unavailable: return send(http::status::service_unavailable);
-    case JobReply::Kind::elsewhere: {
+    case JobReply::Kind::redirect: {
       const auto at = reply.holder ? callbacks_.admin_address_of(*reply.holder) : std::nullopt;
       if (!at) return send(http::status::service_unavailable);
-      json extra = {{"holder", fleet::index_of(*reply.holder)}, {"why", reply.text}};
+      json extra = {{"holder", fleet::index_of(*reply.holder)}, {"why", reply.message}};
       auto r = told(http::status::temporary_redirect, std::move(extra));
       r.location = "http://" + *at + w.path;
       return w.answered(std::move(r));
@@ -265,8 +268,8 @@
   }
   json answers = json::array();
   for (const auto& a : reply.answers) {
-    json one = {{"line", a.line}, {"state", fleet::name_of(a.state)}};
-    if (a.state == fleet::LineState::served) one["body"] = a.body;
+    json one = {{"line", a.task}, {"state", fleet::name_of(a.state)}};
+    if (a.state == fleet::TaskState::served) one["body"] = a.body;
     answers.push_back(std::move(one));
   }
   send(http::status::ok, {{"answers", std::move(answers)}, {"next", reply.next}});
@@ -274,10 +277,10 @@
 
 // ---- What jobs need -----------------------------------------------------------------------------
 
-std::optional<fleet::JobHold> JobService::may_act(ShardId shard) {
+std::optional<fleet::ShardLease> JobService::lease(ShardId shard) {
   const auto h = shared_.hold(duty(shard));
   if (!h) return std::nullopt;
-  return fleet::JobHold{h->epoch, h->since};
+  return fleet::ShardLease{h->epoch, h->since};
 }
 
 // Or who is to hold it soon, as that one claims it first; none: this node itself.
@@ -289,7 +292,7 @@
 
 // Whatever the holder before wrote it wrote before this node's first term; by the time that news
 // takes to go round it is here.
-bool JobService::complete(ShardId shard) {
+bool JobService::has_all_records(ShardId shard) {
   const Time now = timers_.now();
   const auto h = shared_.hold(duty(shard));
   return h && shared_.records().caught_up(now) &&
@@ -314,7 +317,7 @@
   return r != nullptr ? std::optional(*r) : std::nullopt;
 }
 
-void JobService::each(const std::function<void(const fleet::Record&)>& see) {
+void JobService::for_each_record(const std::function<void(const fleet::Record&)>& see) {
   shared_.records().each(fleet::kJobSpace, see);
 }
 
@@ -322,14 +325,14 @@
   const auto it = std::ranges::find(settings_->classes, name, &RequestClass::name);
   return it == settings_->classes.end() ? nullptr : &*it;
 }
-std::optional<Idempotency> JobService::effect(const std::string& request_class) {
+std::optional<Idempotency> JobService::idempotency(const std::string& request_class) {
   const auto* c = class_of(request_class);
   return c != nullptr ? std::optional(c->idempotency) : std::nullopt;
 }
 bool JobService::has_plan(const std::string& plan) {
   return std::ranges::find(settings_->plans, plan, &Plan::name) != settings_->plans.end();
 }
-Duration JobService::timeout(const std::string& request_class) {
+Duration JobService::attempt_timeout(const std::string& request_class) {
   const auto* c = class_of(request_class);
   return c != nullptr ? c->deadline : Duration{};
 }
@@ -337,18 +340,18 @@
   return static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count());
 }
-std::uint32_t JobService::room() { return stopped_ ? 0 : callbacks_.best_effort_capacity(); }
-std::optional<double> JobService::pace(JobId) { return std::nullopt; }
+std::uint32_t JobService::free_slots() { return stopped_ ? 0 : callbacks_.best_effort_capacity(); }
+std::optional<double> JobService::tasks_per_second(JobId) { return std::nullopt; }
 
 // As a client would send it, through any of the nodes: nothing is known of a set.
-void JobService::send(const fleet::JobLine& line) {
+void JobService::send(const fleet::JobTask& line) {
   const auto& spec = *line.spec;
   const auto cls = std::ranges::find(settings_->classes, spec.request_class, &RequestClass::name);
   const auto plan = std::ranges::find(settings_->plans, spec.plan, &Plan::name);
   if (stopped_ || cls == settings_->classes.end() || plan == settings_->plans.end()) {
     // Told later: the caller is in the midst of its own table.
     const auto end = [this, token = line.token] {
-      line_ended(token, {LineOutcome::Kind::refused, {}, {}});
+      line_ended(token, {TaskOutcome::Kind::rejected, {}, {}});
     };
     lines_[line.token] = std::make_shared<Line>(*this, line.token);
     return void(timers_.after({}, end));
@@ -359,14 +362,14 @@
   a.request_class = ClassIndex(static_cast<std::uint32_t>(cls - settings_->classes.begin()));
   a.plan = PlanIndex(static_cast<std::uint32_t>(plan - settings_->plans.begin()));
   a.customer = CustomerId(spec.customer);
-  a.units = static_cast<double>(line.units) / std::milli::den;
+  a.units = static_cast<double>(line.milliunits) / std::milli::den;
   a.gateways = settings_->fleet_size;
   a.time_left = cls->deadline;
   a.best_effort = true;
   r.deadline = timers_.now() + cls->deadline;
   r.method = cls->idempotency == Idempotency::idempotent ? http::verb::get : http::verb::post;
-  r.target = spec.path_of(line.line);
-  r.request_id = request_text(line.request);
+  r.target = spec.path_of(line.index);
+  r.request_id = request_text(line.request_id);
   if (cls->idempotency == Idempotency::idempotency_key) r.idempotency_key = r.request_id;
   ++stats_.sent;
   // It may be answered at once: only when the caller is done with its table.
@@ -374,13 +377,13 @@
   callbacks_.send_request(std::move(r), std::move(sink));
 }
 
-void JobService::line_ended(std::uint64_t token, LineOutcome outcome) {
+void JobService::line_ended(std::uint64_t token, TaskOutcome outcome) {
   if (lines_.erase(token) == 0) return;
   switch (outcome.kind) {
-    case LineOutcome::Kind::served: ++stats_.served; break;
-    case LineOutcome::Kind::refused: ++stats_.refused; break;
-    case LineOutcome::Kind::failed: ++stats_.failed; break;
-    case LineOutcome::Kind::unknown: ++stats_.unknown; break;
+    case TaskOutcome::Kind::served: ++stats_.served; break;
+    case TaskOutcome::Kind::rejected: ++stats_.refused; break;
+    case TaskOutcome::Kind::failed: ++stats_.failed; break;
+    case TaskOutcome::Kind::unknown: ++stats_.unknown; break;
   }
   ended_.emplace_back(token, std::move(outcome));
   run();
@@ -407,15 +410,15 @@
   const Time now = timers_.now();
   jobs_.tick(now);
   while (!refused_.empty() || !outcomes_.empty() || !ended_.empty()) {
-    for (const auto token : std::exchange(refused_, {})) jobs_.put_ended(now, token, false);
+    for (const auto token : std::exchange(refused_, {})) jobs_.on_write_complete(now, token, false);
     for (const auto& [token, safe] : std::exchange(outcomes_, {}))
-      jobs_.put_ended(now, token, safe);
+      jobs_.on_write_complete(now, token, safe);
     for (auto& [token, outcome] : std::exchange(ended_, {}))
-      jobs_.line_ended(now, token, std::move(outcome));
+      jobs_.on_task_complete(now, token, std::move(outcome));
     jobs_.tick(now);
   }
   for (unsigned s = 0; s < fleet::kShards; ++s) {
-    const bool wanted = jobs_.wants(ShardId(static_cast<std::uint8_t>(s)));
+    const bool wanted = jobs_.needs_lease(ShardId(static_cast<std::uint8_t>(s)));
     if (wanted) wanted_until_[s] = now + facts::kShardKept;
     shared_.want(first_duty_ + s, wanted || now < wanted_until_[s]);
   }
--- a/src/node/job_service.hpp
+++ b/src/node/job_service.hpp
@@ -11,7 +11,7 @@
 
 #include "admin_server.hpp"
 #include "cluster_state.hpp"
-#include "fleet/jobs.hpp"
+#include "fleet/job_scheduler.hpp"
 #include "http_server.hpp"
 #include "response_sink.hpp"
 
@@ -53,24 +53,24 @@
   void stop() { stopped_ = true; }
 
   const Stats& stats() const { return stats_; }
-  const fleet::Jobs& jobs() const { return jobs_; }
+  const fleet::JobScheduler& jobs() const { return jobs_; }
 
  private:
   class Line;
 
-  std::optional<fleet::JobHold> may_act(fleet::ShardId shard) override;
+  std::optional<fleet::ShardLease> lease(fleet::ShardId shard) override;
   std::optional<fleet::MemberId> holder(fleet::ShardId shard) override;
-  bool complete(fleet::ShardId shard) override;
+  bool has_all_records(fleet::ShardId shard) override;
   void put(std::uint64_t token, const fleet::RecordKey& key, std::uint64_t epoch,
            std::uint32_t ends, std::optional<std::string> value) override;
   std::optional<fleet::Record> find(const fleet::RecordKey& key) override;
-  void each(const std::function<void(const fleet::Record&)>& see) override;
-  void send(const fleet::JobLine& line) override;
-  std::uint32_t room() override;
-  std::optional<double> pace(fleet::JobId job) override;
-  std::optional<Idempotency> effect(const std::string& request_class) override;
+  void for_each_record(const std::function<void(const fleet::Record&)>& see) override;
+  void send(const fleet::JobTask& line) override;
+  std::uint32_t free_slots() override;
+  std::optional<double> tasks_per_second(fleet::JobId job) override;
+  std::optional<Idempotency> idempotency(const std::string& request_class) override;
   bool has_plan(const std::string& plan) override;
-  Duration timeout(const std::string& request_class) override;
+  Duration attempt_timeout(const std::string& request_class) override;
   std::uint32_t unix_time(Time now) override;
   void reply(fleet::CallId call, const fleet::JobReply& reply) override;
 
@@ -80,7 +80,7 @@
                      const AdminServer::AdminCallback& answered);
   void hand_in(const AdminServer::AdminRequest& ask, const AdminServer::AdminCallback& answered);
   AdminServer::AdminResponse described(fleet::JobId id, const fleet::JobState& state) const;
-  void line_ended(std::uint64_t token, fleet::LineOutcome outcome);
+  void line_ended(std::uint64_t token, fleet::TaskOutcome outcome);
   void run();
   void arm();
 
@@ -98,7 +98,7 @@
   // What came and is not told yet: tokens of writes that were turned down, of writes, of lines.
   std::vector<std::uint64_t> refused_;
   std::vector<std::pair<std::uint64_t, bool>> outcomes_;
-  std::vector<std::pair<std::uint64_t, fleet::LineOutcome>> ended_;
+  std::vector<std::pair<std::uint64_t, fleet::TaskOutcome>> ended_;
   std::map<std::uint64_t, Waiting> calls_;
   std::map<std::uint64_t, std::shared_ptr<Line>> lines_;  // that are out, by token
   std::array<Time, fleet::kShards>
@@ -107,7 +107,7 @@
   bool stopped_ = false, running_ = false, wrote_ = false;
   Timers::Handle due_;
   Stats stats_;
-  fleet::Jobs jobs_;
+  fleet::JobScheduler jobs_;
 };
 
 // A job as POST /jobs has it. Throws reading::FieldError, naming the field.
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -47,7 +47,7 @@
   t.shared.duties.nodes = t.shared.records.nodes = s.fleet_size;
   t.shared.duties.max_clock_skew = t.shared.duties.counter_timeout = s.counter_timeout;
   t.shared.records.clocks = s.counter_timeout;
-  t.shared.records.term = t.shared.duties.term();
+  t.shared.records.term = t.shared.duties.term_duration();
   t.shared.records.spaces = facts::kRecordSpaces;
   t.shared.records.sealed = peers.terms.key.has_value();
   const double others = peers.terms.in_per_s * facts::kOthersShare;
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -134,8 +134,8 @@
 
 void write_jobs(MetricsText& out, const JobService& service) {
   const auto& stats = service.stats();
-  out.gauge("jobs_here", service.jobs().jobs());
-  out.gauge("jobs_answers_bytes", service.jobs().held_bytes());
+  out.gauge("jobs_here", service.jobs().job_count());
+  out.gauge("jobs_answers_bytes", service.jobs().answer_bytes());
   out.counter("jobs_handed_in", stats.handed_in);
   out.family("jobs_lines", "counter");
   out.labelled("jobs_lines", "outcome", "sent", stats.sent);
--- a/src/world/job_fleet.cpp
+++ b/src/world/job_fleet.cpp
@@ -195,7 +195,8 @@
       if (can(*shard.holder) && now() - shard.claimed_at >= from_seconds(options_.lease_s / 3)) {
         shard.claimed_at = now();
         // Renewed each third of the lease while it is wanted; its epoch rises, the right goes on.
-        if (nodes_[*shard.holder]->jobs->wants(fleet::ShardId(static_cast<std::uint8_t>(s)))) {
+        if (nodes_[*shard.holder]->jobs->needs_lease(
+                fleet::ShardId(static_cast<std::uint8_t>(s)))) {
           ++shard.epoch;
           shard.until = now() + from_seconds(options_.lease_s);
         }
@@ -208,7 +209,7 @@
     for (const auto n : shard.order)
       if (can(n) && (claimants.empty() || nodes_[n]->calls > 0)) claimants.push_back(n);
     for (const auto n : claimants) {
-      if (!nodes_[n]->jobs->wants(fleet::ShardId(static_cast<std::uint8_t>(s)))) continue;
+      if (!nodes_[n]->jobs->needs_lease(fleet::ShardId(static_cast<std::uint8_t>(s)))) continue;
       shard.claiming = true;
       agenda_.after(from_seconds(dice_.between(0.1, 0.6)), [this, s, n, can] {
         shards_[s].claiming = false;
@@ -260,7 +261,8 @@
   const auto need = std::min<std::size_t>(kAcks, five.size());
   const auto ended = [this, n, life, token, acks](bool safe) {
     if (std::exchange(acks->ended, true)) return;
-    deliver(n, life, [this, n, token, safe] { nodes_[n]->jobs->put_ended(now(), token, safe); });
+    deliver(n, life,
+            [this, n, token, safe] { nodes_[n]->jobs->on_write_complete(now(), token, safe); });
   };
   if (!merge(n, r)) return agenda_.after(Duration{}, [ended] { ended(false); });
   for (int again = 0; again < kSends; ++again)
--- a/src/world/job_fleet.hpp
+++ b/src/world/job_fleet.hpp
@@ -14,7 +14,7 @@
 
 #include "agenda.hpp"
 #include "dice.hpp"
-#include "fleet/jobs.hpp"
+#include "fleet/job_scheduler.hpp"
 
 namespace petrelrail::world {
 
@@ -30,7 +30,7 @@
     double refused = 0.05, failed = 0.01,
            reset = 0.02;         // of lines; half of those that are reset have run
     std::optional<double> pace;  // lines a second of a job
-    fleet::JobTerms terms{};
+    fleet::JobConfig terms{};
   };
   // What must never happen, counted, and a few words on the first ones.
   struct Breaches {
@@ -138,8 +138,8 @@
   void duties();
   void take(std::uint32_t shard, std::uint32_t node);
   void tick(std::uint32_t node);
-  void send(std::uint32_t node, const fleet::JobLine& line);
-  void judge(std::uint32_t node, const fleet::JobLine& line, Client& c);
+  void send(std::uint32_t node, const fleet::JobTask& line);
+  void judge(std::uint32_t node, const fleet::JobTask& line, Client& c);
   void breach(std::uint64_t& count, std::string words);
   void step(std::uint32_t client);
   void call(std::uint32_t client, std::uint32_t node);
--- a/src/world/job_parties.hpp
+++ b/src/world/job_parties.hpp
@@ -23,7 +23,7 @@
   void begin() {
     records.clear();
     whole = {}, keeps = {};
-    jobs = std::make_unique<fleet::Jobs>(fleet.options_.terms, *this);
+    jobs = std::make_unique<fleet::JobScheduler>(fleet.options_.terms, *this);
     ++life;
     calls = 0;
   }
@@ -33,12 +33,12 @@
     ready = false, stalled = false;
   }
 
-  std::optional<fleet::JobHold> may_act(fleet::ShardId shard) override {
+  std::optional<fleet::ShardLease> lease(fleet::ShardId shard) override {
     const auto& s = fleet.shards_[static_cast<std::size_t>(shard)];
     if (s.holder != index || fleet.now() >= s.until - from_seconds(kMarginS) ||
         holds_life(shard) != life)
       return {};
-    return fleet::JobHold{s.epoch, s.since};
+    return fleet::ShardLease{s.epoch, s.since};
   }
   std::optional<fleet::MemberId> holder(fleet::ShardId shard) override {
     const auto& s = fleet.shards_[static_cast<std::size_t>(shard)];
@@ -46,7 +46,7 @@
     return fleet::MemberId(static_cast<std::uint16_t>(*s.holder));
   }
   // Three of the five that the last holder's writes went to have answered.
-  bool complete(fleet::ShardId shard) override {
+  bool has_all_records(fleet::ShardId shard) override {
     const auto s = static_cast<std::size_t>(shard);
     auto& w = whole[s];
     if (w.pulled || w.asked) return w.pulled;
@@ -75,19 +75,19 @@
     const auto it = records.find(key);
     return it == records.end() ? std::nullopt : std::optional(it->second);
   }
-  void each(const std::function<void(const fleet::Record&)>& see) override {
+  void for_each_record(const std::function<void(const fleet::Record&)>& see) override {
     for (const auto& [key, r] : records) see(r);
   }
-  void send(const fleet::JobLine& line) override { fleet.send(index, line); }
-  std::uint32_t room() override { return kRoom - std::min(kRoom, jobs->lines_out()); }
-  std::optional<double> pace(fleet::JobId) override { return fleet.options_.pace; }
-  std::optional<Idempotency> effect(const std::string& c) override {
+  void send(const fleet::JobTask& line) override { fleet.send(index, line); }
+  std::uint32_t free_slots() override { return kRoom - std::min(kRoom, jobs->tasks_in_flight()); }
+  std::optional<double> tasks_per_second(fleet::JobId) override { return fleet.options_.pace; }
+  std::optional<Idempotency> idempotency(const std::string& c) override {
     if (c == "lookup") return Idempotency::idempotent;
     if (c == "order") return Idempotency::non_idempotent;
     return {};
   }
   bool has_plan(const std::string& plan) override { return plan == "team"; }
-  Duration timeout(const std::string&) override { return std::chrono::seconds(1); }
+  Duration attempt_timeout(const std::string&) override { return std::chrono::seconds(1); }
   std::uint32_t unix_time(Time now) override {
     return kUnix + static_cast<std::uint32_t>(petrelrail::seconds(now.time_since_epoch()));
   }
@@ -111,7 +111,7 @@
   };
   JobFleet& fleet;
   std::uint32_t index;
-  std::unique_ptr<fleet::Jobs> jobs;
+  std::unique_ptr<fleet::JobScheduler> jobs;
   std::map<fleet::RecordKey, fleet::Record> records;
   std::array<Whole, fleet::kShards> whole{};
   std::array<bool, fleet::kShards> keeps{};  // counts as a keeper: has all that it acknowledged
--- a/src/world/job_world.cpp
+++ b/src/world/job_world.cpp
@@ -18,14 +18,14 @@
   s.request_class = dice_.chance(0.6) ? "lookup" : "order";
   s.path = "/" + s.request_class + "/{}?as=batch";
   if (dice_.chance(0.7)) {
-    s.lines = fleet::JobRange{1'000 * n, lines};
+    s.tasks = fleet::JobRange{1'000 * n, lines};
   } else {
     std::vector<std::string> keys;
     for (std::uint32_t i = 0; i < std::min(lines, 400U); ++i)
       keys.push_back("k" + std::to_string(i * 7));
-    s.lines = std::move(keys);
+    s.tasks = std::move(keys);
   }
-  s.ends = kUnix + static_cast<std::uint32_t>(seconds(now().time_since_epoch())) + 86'400;
+  s.end_unix_s = kUnix + static_cast<std::uint32_t>(seconds(now().time_since_epoch())) + 86'400;
   return begin_job(std::move(s), twice);
 }
 
@@ -33,7 +33,7 @@
   const auto number = static_cast<std::uint32_t>(clients_.size());
   auto c = std::make_unique<Client>();
   c->id = fleet::id_of(spec);
-  const auto lines = spec.count();
+  const auto lines = spec.task_count();
   c->answers.resize(lines), c->has.resize(lines), c->runs.resize(lines);
   c->spec = std::move(spec);
   by_id_.try_emplace(c->id, number);
@@ -96,7 +96,7 @@
       ++x.calls;
       const auto id = fleet::CallId(number);
       switch (what) {
-        case What::hand_in: return x.jobs->hand_in(now(), id, job.spec);
+        case What::hand_in: return x.jobs->submit(now(), id, job.spec);
         case What::remove: return x.jobs->remove(now(), id, job.id);
         case What::fetch: return x.jobs->fetch(now(), id, job.id, from);
       }
@@ -112,28 +112,30 @@
   const auto name = "job " + std::to_string(client);
   switch (r.kind) {
     case JobReply::Kind::accepted: c.accepted = true; return;
-    case JobReply::Kind::elsewhere:
+    case JobReply::Kind::redirect:
       if (r.holder) c.at = static_cast<std::uint32_t>(*r.holder);
       return;
     case JobReply::Kind::unavailable: c.at = some_node(); return;
     case JobReply::Kind::removed: c.deleted = c.over = true; return;
     case JobReply::Kind::conflict: c.conflict = c.over = true; return;
-    case JobReply::Kind::unknown:
-    case JobReply::Kind::let_go:
-    case JobReply::Kind::bad: c.over = true; return breach(breaches_.lost, name + ": " + r.text);
+    case JobReply::Kind::not_found:
+    case JobReply::Kind::trimmed:
+    case JobReply::Kind::invalid:
+      c.over = true;
+      return breach(breaches_.lost, name + ": " + r.message);
     case JobReply::Kind::answers: break;
   }
   for (const auto& a : r.answers) {
-    if (c.has[a.line]) continue;
-    c.has[a.line] = true;
+    if (c.has[a.task]) continue;
+    c.has[a.task] = true;
     ++counts_.fetched;
-    if (a.state == fleet::LineState::served)
-      c.answers[a.line] = a.body;
-    else if (a.state != fleet::LineState::failed)
+    if (a.state == fleet::TaskState::served)
+      c.answers[a.task] = a.body;
+    else if (a.state != fleet::TaskState::failed)
       ++counts_.unknown;
   }
   c.next = std::max(c.next, r.next);
-  if (r.answers.empty() && r.next == c.spec.count()) {
+  if (r.answers.empty() && r.next == c.spec.task_count()) {
     c.over = true, ++counts_.done;
     watched_.erase(client);
   }
@@ -141,31 +143,31 @@
 
 // ---- Lines
 
-void JobFleet::judge(std::uint32_t n, const fleet::JobLine& line, Client& c) {
+void JobFleet::judge(std::uint32_t n, const fleet::JobTask& line, Client& c) {
   const auto words = [&](const char* what) {
-    return std::string(what) + ": line " + std::to_string(line.line) + " of " +
+    return std::string(what) + ": line " + std::to_string(line.index) + " of " +
            c.spec.request_class + " by node " + std::to_string(n) + ", epoch " +
            std::to_string(line.epoch);
   };
   auto& shard = shards_[static_cast<std::size_t>(fleet::shard_of(line.job))];
   if (line.epoch < shard.sent_under) breach(breaches_.older_epoch, words("older epoch"));
   shard.sent_under = std::max(shard.sent_under, line.epoch);
-  if (line.line >= c.spec.count() || *line.spec != c.spec ||
-      line.request != (c.spec.prefix << 16U | line.line))
+  if (line.index >= c.spec.task_count() || *line.spec != c.spec ||
+      line.request_id != (c.spec.prefix << 16U | line.index))
     return breach(breaches_.no_client, words("no client's"));
   if (c.deleted) breach(breaches_.after_delete, words("deleted"));
-  if (c.has[line.line]) breach(breaches_.after_fetch, words("fetched"));
-  for (const auto& r : c.runs[line.line]) {
+  if (c.has[line.index]) breach(breaches_.after_fetch, words("fetched"));
+  for (const auto& r : c.runs[line.index]) {
     if (r.over > now()) breach(breaches_.both_out, words("out twice"));
     if (r.ran && c.unsafe()) breach(breaches_.unsafe_twice, words("not safe to repeat"));
   }
-  if (!c.runs[line.line].empty() && c.runs[line.line].back().ran) ++counts_.rerun;
+  if (!c.runs[line.index].empty() && c.runs[line.index].back().ran) ++counts_.rerun;
 }
 
-void JobFleet::send(std::uint32_t n, const fleet::JobLine& line) {
+void JobFleet::send(std::uint32_t n, const fleet::JobTask& line) {
   ++counts_.lines_sent;
-  using Kind = fleet::LineOutcome::Kind;
-  const auto timeout = nodes_[n]->timeout({});
+  using Kind = fleet::TaskOutcome::Kind;
+  const auto timeout = nodes_[n]->attempt_timeout({});
   const auto it = by_id_.find(line.job);
   if (it == by_id_.end()) return breach(breaches_.no_client, "a job that nobody handed in");
   auto& c = *clients_[it->second];
@@ -184,22 +186,22 @@
   if (!arrives) {
     kind = Kind::unknown, takes = timeout;
   } else if (drawn < options_.refused) {
-    kind = Kind::refused, ran = false, takes = from_seconds(0.002);
+    kind = Kind::rejected, ran = false, takes = from_seconds(0.002);
   } else if (drawn < options_.refused + options_.failed) {
     kind = Kind::failed;
   } else if (drawn < options_.refused + options_.failed + options_.reset) {
     kind = Kind::unknown, ran = dice_.chance(0.5);
   }
   if (takes > timeout) kind = Kind::unknown, takes = timeout;
-  if (line.line < c.runs.size()) c.runs[line.line].push_back({n, now() + takes, ran});
+  if (line.index < c.runs.size()) c.runs[line.index].push_back({n, now() + takes, ran});
   const auto life = nodes_[n]->life;
-  fleet::LineOutcome outcome{kind, {}, from_seconds(kind == Kind::refused ? 0.2 : 0)};
-  if (kind == Kind::served) outcome.body = "answer to " + c.spec.path_of(line.line);
+  fleet::TaskOutcome outcome{kind, {}, from_seconds(kind == Kind::rejected ? 0.2 : 0)};
+  if (kind == Kind::served) outcome.body = "answer to " + c.spec.path_of(line.index);
   agenda_.after(takes, [this, n, life, token = line.token, outcome] {
     auto answer = outcome;
     if (nodes_[n]->off) answer = {Kind::unknown, {}, {}};
     deliver(n, life,
-            [this, n, token, answer] { nodes_[n]->jobs->line_ended(now(), token, answer); });
+            [this, n, token, answer] { nodes_[n]->jobs->on_task_complete(now(), token, answer); });
   });
 }
 
--- a/tests/golden_codec_test.cpp
+++ b/tests/golden_codec_test.cpp
@@ -3,7 +3,7 @@
 #include <array>
 
 #include "fleet/booking.hpp"
-#include "fleet/jobs_codec.hpp"
+#include "fleet/job_codec.hpp"
 #include "fleet/members.hpp"
 #include "fleet/shadow_verdict.hpp"
 #include "golden.hpp"
@@ -132,22 +132,22 @@
   spec.prefix = 0x9b1f03aa5c7eULL;
   spec.plan = "p";
   spec.request_class = "read";
-  spec.units = 1500;
+  spec.milliunits = 1500;
   spec.path = "/read/{}";
-  spec.lines = fleet::JobRange{1000, 40};
-  spec.ends = 1'800'000'000;
+  spec.tasks = fleet::JobRange{1000, 40};
+  spec.end_unix_s = 1'800'000'000;
   return spec;
 }
 
 fleet::JobSpec job_of_keys() {
   auto spec = job_of_range();
-  spec.lines = std::vector<std::string>{"alpha", "beta", "a-rather-long-key-of-a-line"};
+  spec.tasks = std::vector<std::string>{"alpha", "beta", "a-rather-long-key-of-a-line"};
   return spec;
 }
 
-std::vector<fleet::LineState> line_states() {
-  std::vector<fleet::LineState> states(600, fleet::LineState::idle);
-  for (std::size_t i = 0; i < 520; ++i) states[i] = fleet::LineState(i % fleet::kLineStates);
+std::vector<fleet::TaskState> line_states() {
+  std::vector<fleet::TaskState> states(600, fleet::TaskState::idle);
+  for (std::size_t i = 0; i < 520; ++i) states[i] = fleet::TaskState(i % fleet::kTaskStates);
   return states;
 }
 
@@ -201,7 +201,7 @@
   add("job-void", fleet::void_head());
   add("job-states-0", fleet::encode_states(line_states(), 0));
   add("job-states-1", fleet::encode_states(line_states(), 1));
-  add("job-marks", fleet::encode(fleet::JobMarks{30, 20, 2, true}));
+  add("job-marks", fleet::encode(fleet::JobWatermarks{30, 20, 2, true}));
   add("booking", fleet::encode(booking()));
   add("shadow-sums", encoded_sums());
   add("shadow-verdict", fleet::encode(fleet::Spoken{41, 7, 2, 33}));
@@ -223,15 +223,15 @@
   EXPECT_EQ(fleet::decode(golden_records("job-range").at(0), no_keys), job_of_range());
   const auto parts = golden_records("job-keys");
   const auto key_part = [&](std::uint8_t part) {
-    return std::optional(parts.at(static_cast<std::size_t>(part) - fleet::kFirstKeys + 1));
+    return std::optional(parts.at(static_cast<std::size_t>(part) - fleet::kFirstKeyPart + 1));
   };
   EXPECT_EQ(fleet::decode(parts.at(0), key_part), job_of_keys());
-  std::vector<fleet::LineState> states(600, fleet::LineState::idle);
+  std::vector<fleet::TaskState> states(600, fleet::TaskState::idle);
   EXPECT_TRUE(fleet::decode_states(golden_records("job-states-0").at(0), 0, states));
   EXPECT_TRUE(fleet::decode_states(golden_records("job-states-1").at(0), 1, states));
   EXPECT_EQ(states, line_states());
-  EXPECT_EQ(fleet::decode_marks(golden_records("job-marks").at(0), 40),
-            (fleet::JobMarks{30, 20, 2, true}));
+  EXPECT_EQ(fleet::decode_watermarks(golden_records("job-marks").at(0), 40),
+            (fleet::JobWatermarks{30, 20, 2, true}));
 }
 
 TEST(GoldenRecords, OfBookingsAndShadowTrafficAreReadBackWhole) {
