--- a/src/node/cluster_state.cpp
+++ b/src/node/cluster_state.cpp
@@ -10,7 +10,7 @@
 namespace petrelrail {
 namespace {
 
-using fleet::Duty;
+using fleet::LeaderLease;
 using fleet::MemberId;
 using nlohmann::json;
 
@@ -38,30 +38,32 @@
 Time time_from_json(const json& j) { return Time(Duration(j.get<Duration::rep>())); }
 MemberId member_from_json(const json& j) { return MemberId(j.get<std::uint16_t>()); }
 
-json to_json(const Duty::State& s) {
+json to_json(const LeaderLease::State& s) {
   json rights = json::array(), heard = json::array();
-  for (const auto& r : s.rights) rights.push_back({r.epoch, r.mine});
-  for (const auto& h : s.heard) heard.push_back({fleet::index_of(h.node), h.epoch, ns(h.until)});
-  json j = {{"began", ns(s.began)}, {"rights", std::move(rights)}, {"heard", std::move(heard)}};
+  for (const auto& r : s.own_terms) rights.push_back({r.epoch, r.is_held});
+  for (const auto& h : s.known_holders)
+    heard.push_back({fleet::index_of(h.node), h.epoch, ns(h.term_end)});
+  json j = {
+      {"began", ns(s.start_time)}, {"rights", std::move(rights)}, {"heard", std::move(heard)}};
   if (s.claim)
     j["claim"] = {s.claim->term, static_cast<int>(s.claim->phase), s.claim->amount,
-                  s.claim->unknown};
+                  s.claim->outcome_unknown};
   return j;
 }
-Duty::State lease_state_from_json(const json& j) {
-  Duty::State s;
-  s.began = time_from_json(j.at("began"));
+LeaderLease::State lease_state_from_json(const json& j) {
+  LeaderLease::State s;
+  s.start_time = time_from_json(j.at("began"));
   for (const auto& r : j.at("rights"))
-    s.rights.push_back({r.at(0).get<fleet::Epoch>(), r.at(1).get<bool>()});
+    s.own_terms.push_back({r.at(0).get<fleet::FencingToken>(), r.at(1).get<bool>()});
   for (const auto& h : j.at("heard"))
-    s.heard.push_back(
-        {member_from_json(h.at(0)), h.at(1).get<fleet::Epoch>(), time_from_json(h.at(2))});
+    s.known_holders.push_back(
+        {member_from_json(h.at(0)), h.at(1).get<fleet::FencingToken>(), time_from_json(h.at(2))});
   if (const auto it = j.find("claim"); it != j.end()) {
     const auto phase = it->at(1).get<int>();
-    if (phase < 0 || phase > static_cast<int>(Duty::Claim::Phase::confirming))
+    if (phase < 0 || phase > static_cast<int>(LeaderLease::Claim::Phase::confirming))
       throw std::runtime_error("unknown claim phase");
-    s.claim = Duty::Claim{it->at(0).get<std::uint64_t>(), Duty::Claim::Phase(phase),
-                          it->at(2).get<double>(), it->at(3).get<bool>()};
+    s.claim = LeaderLease::Claim{it->at(0).get<std::uint64_t>(), LeaderLease::Claim::Phase(phase),
+                                 it->at(2).get<double>(), it->at(3).get<bool>()};
   }
   return s;
 }
@@ -107,7 +109,9 @@
   std::uint64_t lease_seed = seed;
   for (const auto& name : config_.lease_names) {
     LeaseState state{
-        Duty(config_.lease, name, config_.self, lease_seed = mix_hash(lease_seed)), {}, false};
+        LeaderLease(config_.lease, name, config_.self, lease_seed = mix_hash(lease_seed)),
+        {},
+        false};
     if (!lease_by_hash_.emplace(state.lease.hash(), leases_.size()).second)
       throw std::invalid_argument("two leases have the same name hash: " + name);
     leases_.push_back(std::move(state));
@@ -127,7 +131,7 @@
   if (predecessor != nullptr) {
     // Everything is parsed before anything is applied.
     const auto state = store_state_from_json(predecessor->at("records"));
-    std::vector<std::pair<std::size_t, Duty::State>> states;
+    std::vector<std::pair<std::size_t, LeaderLease::State>> states;
     for (const auto& [name, s] : predecessor->at("duties").items())
       for (std::size_t i = 0; i < leases_.size(); ++i)
         if (leases_[i].lease.name() == name) states.emplace_back(i, lease_state_from_json(s));
@@ -136,13 +140,13 @@
   }
   started_ = true;
   store_->start(now);
-  for (auto& s : leases_) s.lease.want(now, s.candidate);
+  for (auto& s : leases_) s.lease.set_candidate(now, s.candidate);
   run();
 }
 
 void ClusterState::on_view_changed(const fleet::MembershipView& view) {
   const Time now = timers_.now();
-  for (auto& s : leases_) s.lease.view(now, view);
+  for (auto& s : leases_) s.lease.on_view(now, view);
   store_->on_view_changed(now, view);
   if (started_) run();
 }
@@ -153,7 +157,7 @@
   if (const auto* tell = std::get_if<fleet::LeaseAnnouncement>(&message.body)) {
     for (const auto& word : tell->entries)
       if (const auto* index = find_or_null(lease_by_hash_, word.lease_id))
-        leases_[*index].lease.heard(now, from, word);
+        leases_[*index].lease.on_announcement(now, from, word);
   } else {
     store_->receive(now, from, message);
   }
@@ -162,13 +166,13 @@
 
 void ClusterState::step_down() {
   const Time now = timers_.now();
-  for (auto& s : leases_) s.lease.resign(now);
+  for (auto& s : leases_) s.lease.step_down(now);
   if (started_) run();
 }
 
 bool ClusterState::has_stepped_down() const {
-  return !started_ ||
-         std::ranges::all_of(leases_, [](const LeaseState& s) { return s.lease.resigned(); });
+  return !started_ || std::ranges::all_of(
+                          leases_, [](const LeaseState& s) { return s.lease.has_stepped_down(); });
 }
 
 json ClusterState::export_state() {
@@ -184,12 +188,12 @@
 void ClusterState::set_candidate(std::size_t lease, bool candidate) {
   auto& s = leases_.at(lease);
   if (std::exchange(s.candidate, candidate) == candidate || !started_) return;
-  s.lease.want(timers_.now(), candidate);
+  s.lease.set_candidate(timers_.now(), candidate);
   run();
 }
 
-std::optional<fleet::Epoch> ClusterState::valid_term(std::size_t lease) const {
-  return started_ ? leases_.at(lease).lease.may_act(timers_.now()) : std::nullopt;
+std::optional<fleet::FencingToken> ClusterState::valid_term(std::size_t lease) const {
+  return started_ ? leases_.at(lease).lease.valid_token_at(timers_.now()) : std::nullopt;
 }
 
 // Returns the tenure as of the last run, if it still holds.
@@ -203,13 +207,13 @@
   return tenure;
 }
 
-std::optional<Duty::Holder> ClusterState::holder(std::size_t lease) const {
+std::optional<LeaderLease::Holder> ClusterState::holder(std::size_t lease) const {
   const auto& l = leases_.at(lease).lease;
   const Time now = timers_.now();
   if (const auto own_term = valid_term(lease))
-    return Duty::Holder{config_.self, *own_term,
-                        config_.lease.begins(fleet::term_of(*own_term) + 1)};
-  return started_ ? l.known(now) : std::nullopt;
+    return LeaderLease::Holder{config_.self, *own_term,
+                               config_.lease.term_start(fleet::term_of(*own_term) + 1)};
+  return started_ ? l.holder_at(now) : std::nullopt;
 }
 
 void ClusterState::on_records_written() {
@@ -226,7 +230,7 @@
   timers_.cancel(timer_);
   if (!started_) return;
   Time due = store_->next_tick_time();
-  for (const auto& s : leases_) due = std::min(due, s.lease.next());
+  for (const auto& s : leases_) due = std::min(due, s.lease.next_tick_time());
   if (due == Time::max()) return;
   timer_ = timers_.at(due, [this] {
     timer_.reset();
@@ -236,7 +240,7 @@
 
 void ClusterState::advance(Time now) {
   for (std::size_t i = 0; i < leases_.size(); ++i) {
-    if (leases_[i].lease.next() <= now) leases_[i].lease.tick(now);
+    if (leases_[i].lease.next_tick_time() <= now) leases_[i].lease.tick(now);
     send_outgoing(i);
     update_tenure(now, leases_[i]);
   }
@@ -248,21 +252,21 @@
 
 void ClusterState::send_outgoing(std::size_t lease) {
   auto& l = leases_[lease].lease;
-  for (const auto& call : l.take_calls()) call_counter(lease, call);
-  for (auto& w : l.take_words())
-    callbacks_.send_datagram(w.to, fleet::LeaseAnnouncement{{w.word}}, 0);
+  for (const auto& call : l.drain_calls()) call_counter(lease, call);
+  for (auto& w : l.drain_announcements())
+    callbacks_.send_datagram(w.to, fleet::LeaseAnnouncement{{w.entry}}, 0);
 }
 
 // A lease's call is delayed once, by the counter time-out, if quota calls are queued. A longer wait
 // could cost the lease's term, and a loaded counter always has quota calls queued.
-void ClusterState::call_counter(std::size_t lease, const Duty::Call& call) {
+void ClusterState::call_counter(std::size_t lease, const LeaderLease::CounterCall& call) {
   const auto send = [this, alive = alive_, lease, call] {
     if (!*alive || !started_) return;
     callbacks_.add_to_counter(
-        call.name, call.amount, call.life,
-        [this, alive, lease, number = call.number](CounterOutcome outcome, double total) {
+        call.name, call.amount, call.ttl,
+        [this, alive, lease, number = call.id](CounterOutcome outcome, double total) {
           if (!*alive || !started_) return;
-          leases_[lease].lease.answered(timers_.now(), number, outcome, total);
+          leases_[lease].lease.on_counter_reply(timers_.now(), number, outcome, total);
           run();
         });
   };
@@ -273,10 +277,10 @@
 // A term that follows this node's own without a gap continues the tenure; any other term begins a
 // new one.
 void ClusterState::update_tenure(Time now, LeaseState& state) {
-  const auto term = state.lease.may_act(now);
+  const auto term = state.lease.valid_token_at(now);
   const auto between_terms = [&] {  // the margin between two terms, in which no node may act
-    return state.tenure && now < config_.lease.begins(fleet::term_of(state.tenure->term) + 1) +
-                                     config_.lease.clocks;
+    return state.tenure && now < config_.lease.term_start(fleet::term_of(state.tenure->term) + 1) +
+                                     config_.lease.max_clock_skew;
   };
   if (!term) {
     if (state.tenure && !between_terms()) state.tenure.reset();
@@ -285,28 +289,33 @@
   const bool continues = state.tenure &&
                          (*term == state.tenure->term ||
                           (fleet::term_of(*term) == fleet::term_of(state.tenure->term) + 1 &&
-                           *term % fleet::kGifts == 0));
+                           *term % fleet::kEpochsPerTerm == 0));
   if (continues) return void(state.tenure->term = *term);
   state.tenure = Tenure{*term, *term, now};
   log::info("duties", "this node holds " + state.lease.name(), {{"epoch", std::to_string(*term)}});
 }
 
-Duty::Figures ClusterState::lease_stats() const {
-  Duty::Figures sum;
+LeaderLease::Stats ClusterState::lease_stats() const {
+  LeaderLease::Stats sum;
   for (const auto& s : leases_) {
-    const auto& f = s.lease.figures();
-    sum.claims += f.claims, sum.won += f.won, sum.lost += f.lost;
-    sum.calls += f.calls, sum.asks += f.asks, sum.refused += f.refused, sum.timeouts += f.timeouts;
-    sum.held += f.held, sum.given += f.given, sum.taken += f.taken;
-    sum.words_out += f.words_out, sum.words_in += f.words_in, sum.words_odd += f.words_odd;
+    const auto& f = s.lease.stats();
+    sum.claims += f.claims, sum.claims_won += f.claims_won, sum.claims_lost += f.claims_lost;
+    sum.calls += f.calls, sum.queries += f.queries, sum.refused += f.refused,
+        sum.timeouts += f.timeouts;
+    sum.terms_acquired += f.terms_acquired, sum.transfers_sent += f.transfers_sent,
+        sum.transfers_accepted += f.transfers_accepted;
+    sum.announcements_sent += f.announcements_sent,
+        sum.announcements_received += f.announcements_received,
+        sum.announcements_ignored += f.announcements_ignored;
   }
   return sum;
 }
 
 std::size_t ClusterState::held_lease_count() const {
   const Time now = timers_.now();
-  return static_cast<std::size_t>(std::ranges::count_if(
-      leases_, [&](const LeaseState& s) { return started_ && s.lease.may_act(now).has_value(); }));
+  return static_cast<std::size_t>(std::ranges::count_if(leases_, [&](const LeaseState& s) {
+    return started_ && s.lease.valid_token_at(now).has_value();
+  }));
 }
 
 json ClusterState::to_json() const {
--- a/src/node/cluster_state.hpp
+++ b/src/node/cluster_state.hpp
@@ -12,14 +12,14 @@
 #include <string>
 #include <vector>
 
-#include "fleet/duty.hpp"
+#include "fleet/leader_lease.hpp"
 #include "fleet/replicated_store.hpp"
 #include "net.hpp"
 
 namespace petrelrail {
 
 struct ClusterStateConfig {
-  fleet::DutyTerms lease;
+  fleet::LeaderLeaseConfig lease;
   fleet::ReplicatedStoreConfig store;
   std::vector<std::string> lease_names;  // the same at all nodes
   fleet::MemberId self{};
@@ -66,18 +66,18 @@
   // `lease`: an index into the configuration's names, here and below.
   void set_candidate(std::size_t lease, bool candidate);
   // The term under which this node may act now; none: it must not act.
-  std::optional<fleet::Epoch> valid_term(std::size_t lease) const;
+  std::optional<fleet::FencingToken> valid_term(std::size_t lease) const;
   // An uninterrupted period of holding a lease: its present and its first term, and when it began.
   struct Tenure {
-    fleet::Epoch term = 0, first_term = 0;
+    fleet::FencingToken term = 0, first_term = 0;
     Time start_time{};
   };
   std::optional<Tenure> tenure(std::size_t lease) const;
   // The holder of the present term as far as this node knows.
-  std::optional<fleet::Duty::Holder> holder(std::size_t lease) const;
+  std::optional<fleet::LeaderLease::Holder> holder(std::size_t lease) const;
   // The node that claims the lease first if it is a candidate.
   std::optional<fleet::MemberId> expected_holder(std::size_t lease) const {
-    return leases_.at(lease).lease.expected();
+    return leases_.at(lease).lease.preferred_claimant();
   }
   // For writing; on_records_written() has to be called after a put or an erase, to send it out.
   fleet::ReplicatedStore& mutable_store() { return *store_; }
@@ -86,7 +86,7 @@
   const ClusterStateConfig& config() const { return config_; }
   const fleet::ReplicatedStore* store() const { return store_.get(); }
   // Summed over all leases.
-  fleet::Duty::Figures lease_stats() const;
+  fleet::LeaderLease::Stats lease_stats() const;
   // The number of leases under which this node may act now.
   std::size_t held_lease_count() const;
   // The state for operators: each lease with its known holder, and the size of the store.
@@ -94,7 +94,7 @@
 
  private:
   struct LeaseState {
-    fleet::Duty lease;
+    fleet::LeaderLease lease;
     std::optional<Tenure> tenure;
     bool candidate = false;
   };
@@ -102,7 +102,7 @@
   void run();
   void advance(Time now);
   void send_outgoing(std::size_t lease);
-  void call_counter(std::size_t lease, const fleet::Duty::Call& call);
+  void call_counter(std::size_t lease, const fleet::LeaderLease::CounterCall& call);
   void update_tenure(Time now, LeaseState& state);
 
   Timers& timers_;
--- a/src/node/coordination.cpp
+++ b/src/node/coordination.cpp
@@ -50,7 +50,7 @@
       (now + 2 * limits::kAddressPublishInterval).time_since_epoch());
   cluster_state_.mutable_store().put(
       now, {kAdminAddressSpace, fleet::index_of(config_.cluster_state.self)},
-      config_.cluster_state.lease.term_at(now) * fleet::kGifts,
+      config_.cluster_state.lease.term_at(now) * fleet::kEpochsPerTerm,
       static_cast<std::uint32_t>(expiry.count()), config_.admin_address);
   cluster_state_.on_records_written();
   address_timer_ = timers_.after(limits::kAddressPublishInterval, [this] {
--- a/src/node/job_service.cpp
+++ b/src/node/job_service.cpp
@@ -14,8 +14,8 @@
 using namespace reading;
 using fleet::JobId;
 using fleet::JobReply;
-using fleet::LineOutcome;
 using fleet::ShardId;
+using fleet::TaskOutcome;
 
 constexpr std::string_view kJobsPath = "/jobs";
 constexpr std::size_t kIdDigits = sizeof "00000000000000" - 1;    // 56 bits
@@ -58,9 +58,9 @@
 
 // A call may wait for a shard's lease as long as the admin server waits for a response that depends
 // on other nodes, less the time for the call itself.
-fleet::JobTerms job_config() {
-  fleet::JobTerms t;
-  t.waits = limits::kAdminResponseTimeout - limits::kAdminIoTimeout;
+fleet::JobConfig job_config() {
+  fleet::JobConfig t;
+  t.max_lease_wait = limits::kAdminResponseTimeout - limits::kAdminIoTimeout;
   return t;
 }
 
@@ -81,22 +81,22 @@
   s.plan = text(j, "plan"), s.request_class = text(j, "class"), s.path = text(j, "path");
   if (const auto* units = optional_field(j, "units")) {
     const double thousandths = std::round(number_of(*units, "units") * std::milli::den);
-    if (!(thousandths >= 1 && thousandths <= fleet::kMostUnits))
+    if (!(thousandths >= 1 && thousandths <= fleet::kMaxMilliunits))
       fail_field("units", "above 0 and at most 1000");
-    s.units = static_cast<std::uint32_t>(thousandths);
+    s.milliunits = static_cast<std::uint32_t>(thousandths);
   }
-  s.ends = uint32(j, "ends");
+  s.end_unix_s = uint32(j, "ends");
   const auto *range = optional_field(j, "range"), *keys = optional_field(j, "keys");
   if ((range != nullptr) == (keys != nullptr))
     throw FieldError("just one of 'range' and 'keys' is needed");
   if (range != nullptr) {
     object_of(*range, "range");
-    s.lines = fleet::JobRange{unsigned_integer_of(field(*range, "first"), "first"),
+    s.tasks = fleet::JobRange{unsigned_integer_of(field(*range, "first"), "first"),
                               uint32(*range, "count")};
   } else {
     std::vector<std::string> all;
     for (const auto& k : list_of(*keys, "keys")) all.push_back(text_of(k, "keys"));
-    s.lines = std::move(all);
+    s.tasks = std::move(all);
   }
   return s;
 }
@@ -109,11 +109,11 @@
   bool client_is_connected() override { return service_ != nullptr; }
 
   void send(const Response& a) override {
-    if (a.status == http::status::ok) return report({LineOutcome::Kind::served, a.body, {}});
+    if (a.status == http::status::ok) return report({TaskOutcome::Kind::served, a.body, {}});
     if (a.status == http::status::too_many_requests ||
         a.status == http::status::service_unavailable)
-      return report({LineOutcome::Kind::refused, {}, a.retry_after});
-    report({LineOutcome::Kind::unknown, {}, {}});
+      return report({TaskOutcome::Kind::rejected, {}, a.retry_after});
+    report({TaskOutcome::Kind::unknown, {}, {}});
   }
   void begin_stream(const ResponseHead&) override {}
   void write_chunk(std::string_view chunk, std::function<void()> on_written) override {
@@ -122,13 +122,13 @@
     on_written();
   }
   void end_stream() override {
-    if (too_long_) return report({LineOutcome::Kind::failed, {}, {}});
-    report({LineOutcome::Kind::served, std::move(body_), {}});
+    if (too_long_) return report({TaskOutcome::Kind::failed, {}, {}});
+    report({TaskOutcome::Kind::served, std::move(body_), {}});
   }
-  void abort() override { report({LineOutcome::Kind::unknown, {}, {}}); }
+  void abort() override { report({TaskOutcome::Kind::unknown, {}, {}}); }
 
  private:
-  void report(LineOutcome outcome) {
+  void report(TaskOutcome outcome) {
     if (auto* service = std::exchange(service_, nullptr))
       service->on_task_ended(token_, std::move(outcome));
   }
@@ -172,7 +172,7 @@
   try {
     const auto spec = parse_job(request.body);
     ++stats_.submitted;
-    jobs_.hand_in(timers_.now(), add_call(request, on_response), spec);
+    jobs_.submit(timers_.now(), add_call(request, on_response), spec);
   } catch (const FieldError& x) {
     on_response(error_response(http::status::bad_request, x.what()));
   }
@@ -211,7 +211,7 @@
     if (request.method != "GET") return method_not_allowed("GET");
     const auto text = request.parameter("from");
     const auto from = parse_number(text.value_or("0"), 10);
-    if (!from || *from > fleet::kMostLines)
+    if (!from || *from > fleet::kMaxTasks)
       return on_response(
                  error_response(http::status::bad_request, "from: a line number is needed")),
              true;
@@ -232,13 +232,16 @@
 AdminServer::AdminResponse JobService::describe(JobId id, const fleet::JobState& state) const {
   json counts = json::object(), runs = json::array();
   for (std::size_t s = 0; s < state.counts.size(); ++s)
-    if (state.counts[s] > 0) counts[fleet::name_of(fleet::LineState(s))] = state.counts[s];
+    if (state.counts[s] > 0) counts[fleet::name_of(fleet::TaskState(s))] = state.counts[s];
   for (const auto& r : state.runs)
     runs.push_back({{"first", r.first}, {"count", r.count}, {"state", fleet::name_of(r.state)}});
-  json j = {{"id", format_job_id(id)},    {"state", fleet::name_of(state.kind)},
-            {"lines", std::move(counts)}, {"runs", std::move(runs)},
-            {"told", state.marks.told},   {"rerun", state.marks.rerun},
-            {"here", state.held}};
+  json j = {{"id", format_job_id(id)},
+            {"state", fleet::name_of(state.kind)},
+            {"lines", std::move(counts)},
+            {"runs", std::move(runs)},
+            {"told", state.watermarks.delivered},
+            {"rerun", state.watermarks.rerun_count},
+            {"here", state.is_held}};
   if (const auto holder = cluster_state_.holder(lease_of(fleet::shard_of(id))))
     j["holder"] = fleet::index_of(holder->node), j["epoch"] = holder->epoch;
   return json_response(http::status::ok, std::move(j));
@@ -249,22 +252,22 @@
   if (!node) return;
   const auto& pending = node.mapped();
   const auto send = [&](http::status status, json extra = json::object()) {
-    if (!reply.text.empty()) extra["why"] = reply.text;
+    if (!reply.message.empty()) extra["why"] = reply.message;
     pending.on_response(json_response(status, std::move(extra)));
   };
   const json id = {{"id", format_job_id(reply.id)}};
   switch (reply.kind) {
     case JobReply::Kind::accepted: return send(http::status::accepted, id);
     case JobReply::Kind::removed: return send(http::status::ok, id);
-    case JobReply::Kind::bad: return send(http::status::bad_request);
-    case JobReply::Kind::unknown: return send(http::status::not_found);
+    case JobReply::Kind::invalid: return send(http::status::bad_request);
+    case JobReply::Kind::not_found: return send(http::status::not_found);
     case JobReply::Kind::conflict: return send(http::status::conflict);
-    case JobReply::Kind::let_go: return send(http::status::gone, {{"next", reply.next}});
+    case JobReply::Kind::trimmed: return send(http::status::gone, {{"next", reply.next}});
     case JobReply::Kind::unavailable: return send(http::status::service_unavailable);
-    case JobReply::Kind::elsewhere: {
+    case JobReply::Kind::redirect: {
       const auto at = reply.holder ? callbacks_.admin_address_of(*reply.holder) : std::nullopt;
       if (!at) return send(http::status::service_unavailable);
-      json extra = {{"holder", fleet::index_of(*reply.holder)}, {"why", reply.text}};
+      json extra = {{"holder", fleet::index_of(*reply.holder)}, {"why", reply.message}};
       auto r = json_response(http::status::temporary_redirect, std::move(extra));
       r.location = "http://" + *at + pending.path;
       return pending.on_response(std::move(r));
@@ -273,8 +276,8 @@
   }
   json answers = json::array();
   for (const auto& a : reply.answers) {
-    json one = {{"line", a.line}, {"state", fleet::name_of(a.state)}};
-    if (a.state == fleet::LineState::served) one["body"] = a.body;
+    json one = {{"line", a.task}, {"state", fleet::name_of(a.state)}};
+    if (a.state == fleet::TaskState::served) one["body"] = a.body;
     answers.push_back(std::move(one));
   }
   send(http::status::ok, {{"answers", std::move(answers)}, {"next", reply.next}});
@@ -282,10 +285,10 @@
 
 // ---- JobHost ------------------------------------------------------------------------------------
 
-std::optional<fleet::JobHold> JobService::may_act(ShardId shard) {
+std::optional<fleet::ShardLease> JobService::lease(ShardId shard) {
   const auto h = cluster_state_.tenure(lease_of(shard));
   if (!h) return std::nullopt;
-  return fleet::JobHold{h->term, h->first_term};
+  return fleet::ShardLease{h->term, h->first_term};
 }
 
 // Returns the holder, or else the node expected to claim the shard's lease first; none if that is
@@ -298,7 +301,7 @@
 
 // The former holder wrote everything before this node's first term, so its records have arrived
 // here once the time that records take to spread has passed.
-bool JobService::complete(ShardId shard) {
+bool JobService::has_all_records(ShardId shard) {
   const Time now = timers_.now();
   const auto h = cluster_state_.tenure(lease_of(shard));
   return h && cluster_state_.mutable_store().caught_up(now) &&
@@ -323,7 +326,7 @@
   return r != nullptr ? std::optional(*r) : std::nullopt;
 }
 
-void JobService::each(const std::function<void(const fleet::Record&)>& see) {
+void JobService::for_each_record(const std::function<void(const fleet::Record&)>& see) {
   cluster_state_.mutable_store().for_each(fleet::kJobSpace, see);
 }
 
@@ -331,14 +334,14 @@
   const auto it = std::ranges::find(settings_->classes, name, &RequestClass::name);
   return it == settings_->classes.end() ? nullptr : &*it;
 }
-std::optional<Idempotency> JobService::effect(const std::string& request_class) {
+std::optional<Idempotency> JobService::idempotency(const std::string& request_class) {
   const auto* c = class_of(request_class);
   return c != nullptr ? std::optional(c->idempotency) : std::nullopt;
 }
 bool JobService::has_plan(const std::string& plan) {
   return std::ranges::find(settings_->plans, plan, &Plan::name) != settings_->plans.end();
 }
-Duration JobService::timeout(const std::string& request_class) {
+Duration JobService::attempt_timeout(const std::string& request_class) {
   const auto* c = class_of(request_class);
   return c != nullptr ? c->deadline : Duration{};
 }
@@ -346,19 +349,19 @@
   return static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count());
 }
-std::uint32_t JobService::room() { return stopped_ ? 0 : callbacks_.best_effort_capacity(); }
-std::optional<double> JobService::pace(JobId) { return std::nullopt; }
+std::uint32_t JobService::free_slots() { return stopped_ ? 0 : callbacks_.best_effort_capacity(); }
+std::optional<double> JobService::tasks_per_second(JobId) { return std::nullopt; }
 
 // Sends the task as its client would. The customer's requests may come through any node of the
 // fleet, since no smaller set of nodes is known for them.
-void JobService::send(const fleet::JobLine& line) {
+void JobService::send(const fleet::JobTask& line) {
   const auto& spec = *line.spec;
   const auto cls = std::ranges::find(settings_->classes, spec.request_class, &RequestClass::name);
   const auto plan = std::ranges::find(settings_->plans, spec.plan, &Plan::name);
   if (stopped_ || cls == settings_->classes.end() || plan == settings_->plans.end()) {
     // Reported later, as the caller is still updating its table.
     const auto report_refused = [this, token = line.token] {
-      on_task_ended(token, {LineOutcome::Kind::refused, {}, {}});
+      on_task_ended(token, {TaskOutcome::Kind::rejected, {}, {}});
     };
     tasks_[line.token] = std::make_shared<TaskSink>(*this, line.token);
     return void(timers_.after({}, report_refused));
@@ -369,14 +372,14 @@
   a.request_class = ClassIndex(static_cast<std::uint32_t>(cls - settings_->classes.begin()));
   a.plan = PlanIndex(static_cast<std::uint32_t>(plan - settings_->plans.begin()));
   a.customer = CustomerId(spec.customer);
-  a.units = static_cast<double>(line.units) / std::milli::den;
+  a.units = static_cast<double>(line.milliunits) / std::milli::den;
   a.gateways = settings_->fleet_size;
   a.time_left = cls->deadline;
   a.best_effort = true;
   r.deadline = timers_.now() + cls->deadline;
   r.method = cls->idempotency == Idempotency::idempotent ? http::verb::get : http::verb::post;
-  r.target = spec.path_of(line.line);
-  r.request_id = format_request_id(line.request);
+  r.target = spec.path_of(line.index);
+  r.request_id = format_request_id(line.request_id);
   if (cls->idempotency == Idempotency::idempotency_key) r.idempotency_key = r.request_id;
   ++stats_.sent;
   // The response may arrive before this returns; it is processed when the caller has finished with
@@ -385,13 +388,13 @@
   callbacks_.send_request(std::move(r), std::move(sink));
 }
 
-void JobService::on_task_ended(std::uint64_t token, LineOutcome outcome) {
+void JobService::on_task_ended(std::uint64_t token, TaskOutcome outcome) {
   if (tasks_.erase(token) == 0) return;
   switch (outcome.kind) {
-    case LineOutcome::Kind::served: ++stats_.served; break;
-    case LineOutcome::Kind::refused: ++stats_.refused; break;
-    case LineOutcome::Kind::failed: ++stats_.failed; break;
-    case LineOutcome::Kind::unknown: ++stats_.unknown; break;
+    case TaskOutcome::Kind::served: ++stats_.served; break;
+    case TaskOutcome::Kind::rejected: ++stats_.refused; break;
+    case TaskOutcome::Kind::failed: ++stats_.failed; break;
+    case TaskOutcome::Kind::unknown: ++stats_.unknown; break;
   }
   task_outcomes_.emplace_back(token, std::move(outcome));
   run();
@@ -419,15 +422,16 @@
   const Time now = timers_.now();
   jobs_.tick(now);
   while (!rejected_writes_.empty() || !write_outcomes_.empty() || !task_outcomes_.empty()) {
-    for (const auto token : std::exchange(rejected_writes_, {})) jobs_.put_ended(now, token, false);
+    for (const auto token : std::exchange(rejected_writes_, {}))
+      jobs_.on_write_complete(now, token, false);
     for (const auto& [token, safe] : std::exchange(write_outcomes_, {}))
-      jobs_.put_ended(now, token, safe);
+      jobs_.on_write_complete(now, token, safe);
     for (auto& [token, outcome] : std::exchange(task_outcomes_, {}))
-      jobs_.line_ended(now, token, std::move(outcome));
+      jobs_.on_task_complete(now, token, std::move(outcome));
     jobs_.tick(now);
   }
   for (unsigned s = 0; s < fleet::kShards; ++s) {
-    const bool is_wanted = jobs_.wants(ShardId(static_cast<std::uint8_t>(s)));
+    const bool is_wanted = jobs_.needs_lease(ShardId(static_cast<std::uint8_t>(s)));
     if (is_wanted) keep_lease_until_[s] = now + limits::kShardIdleTimeout;
     cluster_state_.set_candidate(first_lease_ + s, is_wanted || now < keep_lease_until_[s]);
   }
--- a/src/node/job_service.hpp
+++ b/src/node/job_service.hpp
@@ -12,7 +12,7 @@
 
 #include "admin_server.hpp"
 #include "cluster_state.hpp"
-#include "fleet/jobs.hpp"
+#include "fleet/job_scheduler.hpp"
 #include "http_server.hpp"
 #include "response_sink.hpp"
 
@@ -58,24 +58,24 @@
   void stop() { stopped_ = true; }
 
   const Stats& stats() const { return stats_; }
-  const fleet::Jobs& jobs() const { return jobs_; }
+  const fleet::JobScheduler& jobs() const { return jobs_; }
 
  private:
   class TaskSink;
 
-  std::optional<fleet::JobHold> may_act(fleet::ShardId shard) override;
+  std::optional<fleet::ShardLease> lease(fleet::ShardId shard) override;
   std::optional<fleet::MemberId> holder(fleet::ShardId shard) override;
-  bool complete(fleet::ShardId shard) override;
+  bool has_all_records(fleet::ShardId shard) override;
   void put(std::uint64_t token, const fleet::RecordKey& key, std::uint64_t epoch,
            std::uint32_t ends, std::optional<std::string> value) override;
   std::optional<fleet::Record> find(const fleet::RecordKey& key) override;
-  void each(const std::function<void(const fleet::Record&)>& see) override;
-  void send(const fleet::JobLine& line) override;
-  std::uint32_t room() override;
-  std::optional<double> pace(fleet::JobId job) override;
-  std::optional<Idempotency> effect(const std::string& request_class) override;
+  void for_each_record(const std::function<void(const fleet::Record&)>& see) override;
+  void send(const fleet::JobTask& line) override;
+  std::uint32_t free_slots() override;
+  std::optional<double> tasks_per_second(fleet::JobId job) override;
+  std::optional<Idempotency> idempotency(const std::string& request_class) override;
   bool has_plan(const std::string& plan) override;
-  Duration timeout(const std::string& request_class) override;
+  Duration attempt_timeout(const std::string& request_class) override;
   std::uint32_t unix_time(Time now) override;
   void reply(fleet::CallId call, const fleet::JobReply& reply) override;
 
@@ -88,7 +88,7 @@
   void submit(const AdminServer::AdminRequest& request,
               const AdminServer::AdminCallback& on_response);
   AdminServer::AdminResponse describe(fleet::JobId id, const fleet::JobState& state) const;
-  void on_task_ended(std::uint64_t token, fleet::LineOutcome outcome);
+  void on_task_ended(std::uint64_t token, fleet::TaskOutcome outcome);
   void run();
   void arm_timer();
 
@@ -107,7 +107,7 @@
   // Events not yet passed to jobs_: tokens of rejected writes, outcomes of writes and of tasks.
   std::vector<std::uint64_t> rejected_writes_;
   std::vector<std::pair<std::uint64_t, bool>> write_outcomes_;
-  std::vector<std::pair<std::uint64_t, fleet::LineOutcome>> task_outcomes_;
+  std::vector<std::pair<std::uint64_t, fleet::TaskOutcome>> task_outcomes_;
   std::map<std::uint64_t, PendingCall> calls_;
   std::map<std::uint64_t, std::shared_ptr<TaskSink>> tasks_;  // in flight, by token
   // A shard's lease is kept until this time after the shard's last use.
@@ -116,7 +116,7 @@
   bool stopped_ = false, running_ = false, has_written_ = false;
   Timers::Handle timer_;
   Stats stats_;
-  fleet::Jobs jobs_;
+  fleet::JobScheduler jobs_;
 };
 
 // Parses the body of POST /jobs. Throws reading::FieldError, naming the field.
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -46,10 +46,10 @@
   config.cluster_state.self = fleet::MemberId(static_cast<std::uint16_t>(peers.index));
   config.cluster_state.zone = peers.zone;
   config.cluster_state.lease.nodes = config.cluster_state.store.nodes = s.fleet_size;
-  config.cluster_state.lease.clocks = config.cluster_state.lease
-                                          .counter_timeout = s.counter_timeout;
+  config.cluster_state.lease.max_clock_skew = config.cluster_state.lease
+                                                  .counter_timeout = s.counter_timeout;
   config.cluster_state.store.max_clock_skew = s.counter_timeout;
-  config.cluster_state.store.term = config.cluster_state.lease.term();
+  config.cluster_state.store.term = config.cluster_state.lease.term_duration();
   config.cluster_state.store.spaces = limits::kRecordSpaces;
   config.cluster_state.store.sealed = peers.terms.key.has_value();
   const double intake_per_s = peers.terms.inbox_per_s * limits::kCoordinationIntakeShare;
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -110,13 +110,13 @@
   const auto stats = state.lease_stats();
   out.gauge("duties_held", state.held_lease_count());
   out.counter("duties_claims", stats.claims);
-  out.counter("duties_won", stats.won);
-  out.counter("duties_lost", stats.lost);
-  out.counter("duties_calls", stats.calls + stats.asks);
+  out.counter("duties_won", stats.claims_won);
+  out.counter("duties_lost", stats.claims_lost);
+  out.counter("duties_calls", stats.calls + stats.queries);
   out.counter("duties_timeouts", stats.timeouts);
-  out.counter("duties_terms", stats.held);
-  out.counter("duties_given", stats.given);
-  out.counter("duties_taken", stats.taken);
+  out.counter("duties_terms", stats.terms_acquired);
+  out.counter("duties_given", stats.transfers_sent);
+  out.counter("duties_taken", stats.transfers_accepted);
 }
 
 void write_records(MetricsText& out, const ClusterState& state, Time now) {
@@ -135,8 +135,8 @@
 
 void write_jobs(MetricsText& out, const JobService& service) {
   const auto& stats = service.stats();
-  out.gauge("jobs_here", service.jobs().jobs());
-  out.gauge("jobs_answers_bytes", service.jobs().held_bytes());
+  out.gauge("jobs_here", service.jobs().job_count());
+  out.gauge("jobs_answers_bytes", service.jobs().answer_bytes());
   out.counter("jobs_handed_in", stats.submitted);
   out.family("jobs_lines", "counter");
   out.labelled("jobs_lines", "outcome", "sent", stats.sent);
