--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -1,4 +1,5 @@
-// A small host for tests: keeps the clock, hands events in and sorts the actions by kind.
+// A host of one Gateway for tests: keeps a simulated clock, passes events to the gateway and
+// selects its actions by type.
 #pragma once
 
 #include <algorithm>
@@ -47,54 +48,59 @@
 struct Host {
   Gateway gateway;
   Time now{1h};
-  std::vector<Action> last;
+  std::vector<Action> last_actions;
   std::uint64_t next_request = 1;
 
   explicit Host(const Settings& s = settings(), std::uint64_t seed = 1) : gateway(s, seed) {}
 
-  std::vector<Action>& give(const Event& e) { return last = gateway.handle(now, e); }
+  std::vector<Action>& handle_event(const Event& e) {
+    return last_actions = gateway.handle(now, e);
+  }
 
-  void servers(int n, std::optional<Time> started = std::nullopt) {
+  void list_servers(int n, std::optional<Time> started = std::nullopt) {
     EndpointListUpdate u;
     for (int i = 0; i < n; ++i)
       u.entries.push_back({.id = EndpointId(static_cast<std::uint32_t>(i + 1)),
                            .cell = static_cast<std::uint32_t>(i / 2),
                            .started = started});
-    give(u);
+    handle_event(u);
   }
-  RequestId ask(std::uint64_t customer = 1, std::uint32_t cls = 0, double units = 1,
-                std::uint32_t plan = 0) {
+  RequestId submit_request(std::uint64_t customer = 1, std::uint32_t class_index = 0,
+                           double units = 1, std::uint32_t plan = 0) {
     const auto id = static_cast<RequestId>(next_request++);
-    give(RequestArrived{id, ClassIndex(cls), PlanIndex(plan), CustomerId(customer), 1s, units, 2,
-                        false});
+    handle_event(RequestArrived{id, ClassIndex(class_index), PlanIndex(plan), CustomerId(customer),
+                                1s, units, 2, false});
     return id;
   }
   template <class T>
-  std::vector<T> all() const {
-    std::vector<T> found;
-    for (const auto& a : last)
-      if (const auto* t = std::get_if<T>(&a)) found.push_back(*t);
-    return found;
+  std::vector<T> actions_of() const {
+    std::vector<T> selected;
+    for (const auto& a : last_actions)
+      if (const auto* t = std::get_if<T>(&a)) selected.push_back(*t);
+    return selected;
   }
   template <class T>
   bool has() const {
-    return !all<T>().empty();
+    return !actions_of<T>().empty();
   }
-  // Answers the one call that is out as a counter that holds `total` after it.
-  void count(const AddToCounter& call, double total, CounterOutcome o = CounterOutcome::ok) {
-    give(CounterResponse{call.key, o, total, 1ms});
+  // Responds to the counter call in flight; the count is `total` after the call was added.
+  void respond_to_call(const AddToCounter& call, double total,
+                       CounterOutcome outcome = CounterOutcome::ok) {
+    handle_event(CounterResponse{call.key, outcome, total, 1ms});
   }
-  // Asks, and grants whatever is leased for it; returns the send if there is one.
-  std::optional<Send> ask_granted(std::uint64_t customer = 1, std::uint32_t cls = 0) {
-    ask(customer, cls);
-    if (const auto calls = all<AddToCounter>(); !calls.empty() && !has<Send>())
-      count(calls[0], calls[0].amount);
-    const auto sends = all<Send>();
+  // Submits a request and grants all units that the gateway calls the counter for. Returns the
+  // send, or nullopt if the request was not forwarded.
+  std::optional<Send> submit_and_grant(std::uint64_t customer = 1, std::uint32_t class_index = 0) {
+    submit_request(customer, class_index);
+    if (const auto calls = actions_of<AddToCounter>(); !calls.empty() && !has<Send>())
+      respond_to_call(calls[0], calls[0].amount);
+    const auto sends = actions_of<Send>();
     return sends.empty() ? std::nullopt : std::optional(sends[0]);
   }
-  void outcome(const Send& s, AttemptOutcome o, bool finished = false, Duration took = 20ms,
-               std::uint32_t attempt = 0) {
-    give(AttemptEnded{s.request, attempt, s.endpoint, o, took, finished, 0, std::nullopt});
+  void end_attempt(const Send& s, AttemptOutcome outcome, bool finished = false,
+                   Duration duration = 20ms, std::uint32_t attempt = 0) {
+    handle_event(
+        AttemptEnded{s.request, attempt, s.endpoint, outcome, duration, finished, 0, std::nullopt});
   }
 };
 
--- a/tests/plan_change_test.cpp
+++ b/tests/plan_change_test.cpp
@@ -1,6 +1,6 @@
-// Guards against state of one plan being read by the terms of another: customers that turn between
-// plans of every kind while calls to the counter are out, answered late, lost or answered after a
-// hand-over to settings whose plans have changed places or lost their rates.
+// Guards against state of one plan being interpreted under another plan. Customers change between
+// plans of every kind while counter calls are in flight, answered late, lost, or answered after a
+// hand-over to settings in which plans are reordered or have lost their rates.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -16,8 +16,8 @@
 constexpr std::uint64_t kCustomers = 3;
 constexpr std::uint32_t kSlots = 3;
 
-// Plans of windows of the same length and of others, with a ceiling, with slots, and without a
-// rate.
+// Plans with windows of equal and of different lengths, with a ceiling, with concurrency slots, and
+// without a rate.
 std::vector<Plan> plans() {
   return {{.name = "plain", .rate = 10, .burst = 20},
           {.name = "small", .rate = 1, .burst = 2},
@@ -29,28 +29,29 @@
           {.name = "free"}};
 }
 
-Settings settings_with(std::vector<Plan> its_plans) {
+Settings settings_with(std::vector<Plan> plans_to_use) {
   auto s = settings();
   s.fleet_size = 1;
-  s.plans = std::move(its_plans);
+  s.plans = std::move(plans_to_use);
   return s;
 }
 
-// One gateway after another, a counter that keeps exact counts, and servers that answer in time.
+// A succession of gateways that hand over to each other, a counter that keeps exact counts, and
+// servers that answer in time.
 class PlanChanges {
  public:
   explicit PlanChanges(std::uint64_t seed) : random_(seed), host_(settings_with(plans()), seed) {
-    host_.servers(kServers);
+    host_.list_servers(kServers);
   }
 
   void run(int steps) {
     for (int i = 0; i < steps; ++i) step();
   }
-  // All that is out ends.
+  // Delivers all scheduled events, then lets all leases expire.
   void drain() {
     while (!events_.empty()) deliver_next();
     host_.now += kIdle;
-    give(TimerDue{});
+    handle_event(TimerDue{});
   }
   Host& host() { return host_; }
   std::size_t forwarded() const { return forwarded_count_; }
@@ -65,17 +66,17 @@
   static constexpr int kServers = 30;
   static constexpr Duration kIdle = 10s, kCounterTimeout = 50ms;
 
-  struct Open {
+  struct OpenRequest {
     std::uint64_t customer = 0;
     std::string plan;
     bool forwarded = false;
-    std::uint64_t life = 0;
+    std::uint64_t gateway_instance = 0;
   };
-  struct Scheduled {
-    std::uint64_t life = 0;
+  struct ScheduledEvent {
+    std::uint64_t gateway_instance = 0;
     Event event;
   };
-  struct Passed {
+  struct Forwarded {
     Time at{};
     double units = 0;
   };
@@ -83,25 +84,26 @@
   bool chance(double share) {
     return std::uniform_real_distribution<double>(0, 1)(random_) < share;
   }
-  std::uint64_t below(std::uint64_t bound) {
+  std::uint64_t random_below(std::uint64_t bound) {
     return std::uniform_int_distribution<std::uint64_t>(0, bound - 1)(random_);
   }
-  Duration up_to(Duration most) {
-    return Duration(static_cast<Duration::rep>(below(static_cast<std::uint64_t>(most.count()))));
+  Duration random_duration(Duration max_duration) {
+    return Duration(
+        static_cast<Duration::rep>(random_below(static_cast<std::uint64_t>(max_duration.count()))));
   }
 
   void step() {
-    const auto kind = below(1000);
+    const auto kind = random_below(1000);
     if (kind == 0) {
       hand_over(plans());
     } else if (kind == 1) {
       hand_over(other_plans());
     } else if (kind == 2) {
-      advance(up_to(2h));  // nobody asks for long
+      advance(random_duration(2h));  // a long time without requests
     } else if (kind == 3) {
-      give(SettingsChanged{std::make_shared<Settings>(settings_with(plans_))});
+      handle_event(SettingsChanged{std::make_shared<Settings>(settings_with(plans_))});
     } else {
-      advance(up_to(4ms));
+      advance(random_duration(4ms));
       arrive();
     }
   }
@@ -114,79 +116,84 @@
     const auto [at, scheduled] = *events_.begin();
     events_.erase(events_.begin());
     host_.now = std::max(host_.now, at);
-    if (scheduled.life == life_) give(scheduled.event);
+    if (scheduled.gateway_instance == gateway_instance_) handle_event(scheduled.event);
   }
   void arrive() {
-    const auto customer = 1 + below(kCustomers);
-    const auto plan = static_cast<PlanIndex>(below(plans_.size()));
+    const auto customer = 1 + random_below(kCustomers);
+    const auto plan = static_cast<PlanIndex>(random_below(plans_.size()));
     const auto id = static_cast<RequestId>(++last_request_);
-    open_[id] = {customer, at(plans_, plan).name, false, life_};
+    open_[id] = {customer, at(plans_, plan).name, false, gateway_instance_};
     const double units = chance(0.2) ? 2 : 1;
-    give(RequestArrived{id, ClassIndex(0), plan, CustomerId(customer), 1s, units, 1, false});
+    handle_event(
+        RequestArrived{id, ClassIndex(0), plan, CustomerId(customer), 1s, units, 1, false});
   }
   template <class Index>
   static const Plan& at(const std::vector<Plan>& all, Index index) {
     return all[static_cast<std::size_t>(index)];
   }
 
-  void give(const Event& event) {
-    host_.give(event);
-    for (const auto& action : host_.last) std::visit([this](const auto& a) { act(a); }, action);
+  void handle_event(const Event& event) {
+    host_.handle_event(event);
+    for (const auto& action : host_.last_actions)
+      std::visit([this](const auto& a) { apply(a); }, action);
   }
-  template <class Other>
-  void act(const Other&) {}
-  void act(const Reject& reject) { open_.erase(reject.request); }
-  void act(const Fail& fail) { open_.erase(fail.request); }
-  void act(const Send& send) {
+  template <class OtherAction>
+  void apply(const OtherAction&) {}
+  void apply(const Reject& reject) { open_.erase(reject.request); }
+  void apply(const Fail& fail) { open_.erase(fail.request); }
+  void apply(const Send& send) {
     auto& open = open_.at(send.request);
-    if (!std::exchange(open.forwarded, true)) record(open);
-    const bool answers = chance(0.97);
-    const auto outcome = answers ? AttemptOutcome::ok : AttemptOutcome::reset;
-    const auto took = 1ms + up_to(80ms);
-    schedule(took, AttemptEnded{send.request, attempts_[send.request]++, send.endpoint, outcome,
-                                took, answers, 0, std::nullopt});
-    if (answers) open_.erase(send.request);
+    if (!std::exchange(open.forwarded, true)) record_forwarded(open);
+    const bool succeeds = chance(0.97);
+    const auto outcome = succeeds ? AttemptOutcome::ok : AttemptOutcome::reset;
+    const auto duration = 1ms + random_duration(80ms);
+    schedule(duration, AttemptEnded{send.request, attempts_[send.request]++, send.endpoint, outcome,
+                                    duration, succeeds, 0, std::nullopt});
+    if (succeeds) open_.erase(send.request);
   }
-  // Counted at once; the answer comes at once, late, too late to be told, or never arrives.
-  void act(const AddToCounter& call) {
+  // Refuses the call, or counts it at once and schedules a response that is fast, late or timed
+  // out.
+  void apply(const AddToCounter& call) {
     if (chance(0.02)) return schedule(1ms, CounterResponse{call.key, CounterOutcome::refused});
     const double total = counts_[call.key] += call.amount;
     const bool timed_out = chance(0.02);
-    const auto took = timed_out ? kCounterTimeout : 1ms + up_to(chance(0.1) ? 49ms : 3ms);
+    const auto duration = timed_out ? kCounterTimeout
+                                    : 1ms + random_duration(chance(0.1) ? 49ms : 3ms);
     const auto outcome = timed_out ? CounterOutcome::timeout : CounterOutcome::ok;
-    schedule(took, CounterResponse{call.key, outcome, total, took});
+    schedule(duration, CounterResponse{call.key, outcome, total, duration});
   }
   void schedule(Duration after, Event event) {
-    events_.emplace(host_.now + after, Scheduled{life_, std::move(event)});
+    events_.emplace(host_.now + after, ScheduledEvent{gateway_instance_, std::move(event)});
   }
 
-  // A window of a plan's count lets its limit through, and a span as long as one touches two. What
-  // was forwarded before its lease, one request a window, comes on top.
-  void record(const Open& open) {
+  // Records an overrun if more units were forwarded than allowed. A window admits its plan's limit,
+  // and a span as long as one window touches two. Requests admitted before their lease, one per
+  // window, are allowed in addition.
+  void record_forwarded(const OpenRequest& open) {
     ++forwarded_count_;
     const auto& plan = *std::ranges::find(plans_, open.plan, &Plan::name);
     const policy::WindowedQuota quota(plan);
     if (!quota.metered) return;
-    auto& passed = passed_[{open.customer, open.plan}];
-    passed.push_back({host_.now, 1});  // one unit at least
-    while (passed.front().at <= host_.now - quota.window) passed.pop_front();
-    const double most = 2 * quota.limit + (quota.has_ceiling ? 0 : 4);
-    if (static_cast<double>(passed.size()) > most)
-      overruns_.push_back(open.plan + " let " + std::to_string(passed.size()) +
-                          " units through in one window's time");
+    auto& forwards = forwards_[{open.customer, open.plan}];
+    forwards.push_back({host_.now, 1});  // at least one unit
+    while (forwards.front().at <= host_.now - quota.window) forwards.pop_front();
+    const double max_units = 2 * quota.limit + (quota.has_ceiling ? 0 : 4);
+    if (static_cast<double>(forwards.size()) > max_units)
+      overruns_.push_back(open.plan + " admitted " + std::to_string(forwards.size()) +
+                          " units within the length of one window");
   }
 
   std::vector<Plan> other_plans() {
-    auto others = plans();
-    std::ranges::shuffle(others, random_);
-    if (chance(0.5)) others[below(others.size())].rate = 0;
-    if (chance(0.3)) others.pop_back();
-    for (auto& plan : others)
+    auto changed = plans();
+    std::ranges::shuffle(changed, random_);
+    if (chance(0.5)) changed[random_below(changed.size())].rate = 0;
+    if (chance(0.3)) changed.pop_back();
+    for (auto& plan : changed)
       if (plan.rate == 0) plan.burst = 0;
-    return others;
+    return changed;
   }
-  // Whether another plan has windows of the same length: then the name of the count tells them
-  // apart, and a plan that comes or goes so begins the other's counts anew.
+  // Returns whether another plan has windows of the same length. Only then the counter key includes
+  // the plan's name, so adding or removing such a plan restarts the counts of the other.
   static bool shares_length(const std::vector<Plan>& all, const Plan& plan) {
     const auto length = policy::WindowedQuota(plan).window;
     return std::ranges::any_of(all, [&](const Plan& other) {
@@ -200,32 +207,34 @@
       const bool same_counts = before != plans_.end() && *before == plan &&
                                shares_length(plans_, plan) == shares_length(next, plan);
       if (same_counts) continue;
-      std::erase_if(passed_, [&](const auto& entry) { return entry.first.second == plan.name; });
+      std::erase_if(forwards_, [&](const auto& entry) { return entry.first.second == plan.name; });
     }
     plans_ = std::move(next);
-    ++life_;
+    ++gateway_instance_;
     host_.gateway = Gateway(settings_with(plans_), random_());
-    host_.servers(kServers);
-    give(RestoreState{state});
-    std::erase_if(open_, [this](const auto& entry) { return entry.second.life != life_; });
+    host_.list_servers(kServers);
+    handle_event(RestoreState{state});
+    std::erase_if(open_, [this](const auto& entry) {
+      return entry.second.gateway_instance != gateway_instance_;
+    });
   }
 
   std::mt19937_64 random_;
   Host host_;
   std::vector<Plan> plans_ = plans();
-  std::uint64_t life_ = 0, last_request_ = 0;
-  std::multimap<Time, Scheduled> events_;
-  std::map<RequestId, Open> open_;
+  std::uint64_t gateway_instance_ = 0, last_request_ = 0;
+  std::multimap<Time, ScheduledEvent> events_;
+  std::map<RequestId, OpenRequest> open_;
   std::map<RequestId, std::uint32_t> attempts_;
   std::map<CounterKey, double> counts_;
-  std::map<std::pair<std::uint64_t, std::string>, std::deque<Passed>> passed_;
+  std::map<std::pair<std::uint64_t, std::string>, std::deque<Forwarded>> forwards_;
   std::size_t forwarded_count_ = 0;
   std::vector<std::string> overruns_;
 };
 
 class PlanChange : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(PlanChange, NoPlanSpendsWhatAnotherLeasedAndNoSlotIsLost) {
+TEST_P(PlanChange, NoPlanSpendsUnitsOfAnotherAndNoSlotIsLost) {
   constexpr int kSteps = 20'000;
   PlanChanges changes(GetParam());
   changes.run(kSteps);
@@ -238,68 +247,70 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, PlanChange, testing::Range<std::uint64_t>(1, 13));
 
-// Each of a customer's slots is there again after its requests under several plans have ended.
-TEST(Plans, SlotsTakenUnderOnePlanAreReleasedAfterTheCustomerTurnedToAnother) {
+// Guards against slots that are released under another plan than the one they were taken under, and
+// so stay occupied.
+TEST(Plans, SlotsTakenUnderOnePlanAreReleasedAfterTheCustomerChangesToAnother) {
   Host h(settings_with(plans()));
-  h.servers(4);
+  h.list_servers(4);
   std::vector<Send> sends;
   for (std::uint32_t i = 0; i < kSlots; ++i) {
-    h.ask(1, 0, 1, 2);
+    h.submit_request(1, 0, 1, 2);
     ASSERT_TRUE(h.has<Send>());
-    sends.push_back(h.all<Send>()[0]);
+    sends.push_back(h.actions_of<Send>()[0]);
   }
-  h.ask(1, 0, 1, 6);  // the same limit under another plan: all its slots are taken
+  h.submit_request(1, 0, 1, 6);  // another plan with the same limit: all slots are in use
   EXPECT_TRUE(h.has<Reject>());
-  for (const auto& send : sends) h.outcome(send, AttemptOutcome::ok, true);
+  for (const auto& send : sends) h.end_attempt(send, AttemptOutcome::ok, true);
   for (std::uint32_t i = 0; i < kSlots; ++i) {
-    h.ask(1, 0, 1, 2);
+    h.submit_request(1, 0, 1, 2);
     EXPECT_TRUE(h.has<Send>());
   }
-  h.ask(1, 0, 1, 2);
+  h.submit_request(1, 0, 1, 2);
   EXPECT_TRUE(h.has<Reject>());
 }
 
-// Two plans with windows of the same length: a call for one is no call for the other.
-TEST(Plans, CountsOfPlansWithWindowsOfTheSameLengthAreApart) {
+// Guards against two plans sharing a count because their windows have the same number and length.
+TEST(Plans, PlansWithWindowsOfTheSameLengthHaveSeparateCounts) {
   Host h(settings_with(plans()));
-  h.servers(2);
-  h.ask(1, 0, 1, 0);
-  const auto plain = h.all<AddToCounter>();
-  h.ask(1, 0, 1, 1);
-  const auto small = h.all<AddToCounter>();
+  h.list_servers(2);
+  h.submit_request(1, 0, 1, 0);
+  const auto plain = h.actions_of<AddToCounter>();
+  h.submit_request(1, 0, 1, 1);
+  const auto small = h.actions_of<AddToCounter>();
   ASSERT_EQ(plain.size(), 1U);
   ASSERT_EQ(small.size(), 1U);
   EXPECT_NE(plain[0].key, small[0].key);
 }
 
-// The successor's plans stand in another order, and one has other windows: units go to the plan of
-// that name, and those of windows that are no more are given up.
-TEST(Plans, ASuccessorTakesUnitsUnderThePlanOfTheSameNameAndWindows) {
+// Guards against units restored by the position of a plan. In the successor's settings the plans
+// are reordered and one has other windows: units belong to the plan of the same name, and units of
+// windows that no longer exist are dropped.
+TEST(Plans, SuccessorRestoresUnitsUnderThePlanWithTheSameNameAndWindows) {
   Host before(settings_with(plans()));
-  before.servers(2);
+  before.list_servers(2);
   const auto lease = [&](std::uint64_t customer, std::uint32_t plan) {
-    before.ask(customer, 0, 1, plan);
-    const auto calls = before.all<AddToCounter>();
+    before.submit_request(customer, 0, 1, plan);
+    const auto calls = before.actions_of<AddToCounter>();
     ASSERT_EQ(calls.size(), 1U);
-    before.count(calls[0], calls[0].amount);
+    before.respond_to_call(calls[0], calls[0].amount);
     ASSERT_TRUE(before.has<Send>());
   };
   lease(1, 0);  // plain
   lease(2, 3);  // long
   const auto state = std::make_shared<HandoverState>(before.gateway.export_state(before.now));
-  auto turned = plans();
-  std::swap(turned[0], turned[1]);
-  turned[3].rate = 4;  // windows half as long
-  Host after(settings_with(turned));
+  auto reordered = plans();
+  std::swap(reordered[0], reordered[1]);
+  reordered[3].rate = 4;  // windows half as long
+  Host after(settings_with(reordered));
   after.now = before.now;
-  after.servers(2);
-  after.give(RestoreState{state});
-  after.ask(1, 0, 1, 1);  // plain, in its new place
+  after.list_servers(2);
+  after.handle_event(RestoreState{state});
+  after.submit_request(1, 0, 1, 1);  // plain, at its new position
   EXPECT_TRUE(after.has<Send>());
   EXPECT_FALSE(after.has<AddToCounter>());
-  after.ask(1, 0, 1, 0);  // small: nothing of it was leased
+  after.submit_request(1, 0, 1, 0);  // small: no units were leased under it
   EXPECT_FALSE(after.has<Send>());
-  after.ask(2, 0, 1, 3);
+  after.submit_request(2, 0, 1, 3);
   EXPECT_FALSE(after.has<Send>());
   EXPECT_TRUE(after.has<AddToCounter>());
 }
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,4 +1,4 @@
-// The parts of src/policy/, each driven alone through its interface.
+// Unit tests of the classes of src/policy, each through its own interface.
 #include <gtest/gtest.h>
 
 #include "common/lookup.hpp"
@@ -13,16 +13,16 @@
 using test::settings;
 
 template <class T>
-std::vector<T> taken(DecisionContext& context) {
-  std::vector<T> found;
+std::vector<T> drain_actions(DecisionContext& context) {
+  std::vector<T> selected;
   for (const auto& a : std::exchange(context.actions, {}))
-    if (const auto* t = std::get_if<T>(&a)) found.push_back(*t);
-  return found;
+    if (const auto* t = std::get_if<T>(&a)) selected.push_back(*t);
+  return selected;
 }
 
 // ---- Windowed quota
 
-TEST(WindowedQuotaTest, FollowFromThePlan) {
+TEST(WindowedQuotaTest, LimitAndWindowAreDerivedFromThePlan) {
   const WindowedQuota plain(Plan{.name = "", .rate = 10, .burst = 20});
   EXPECT_TRUE(plain.metered);
   EXPECT_FALSE(plain.has_ceiling);
@@ -30,10 +30,12 @@
   EXPECT_EQ(plain.window, 2s);
   EXPECT_FALSE(WindowedQuota(Plan{}).metered);
   EXPECT_EQ(WindowedQuota(Plan{.name = "", .rate = 1, .burst = 1000}).window,
-            59s);  // no count lives for longer than 60 s
+            59s);  // a count is kept for at most 60 s
 }
 
-TEST(WindowedQuotaTest, NoSpanOfWindowsAdmitsMoreThanTheCeiling) {
+// Guards against exceeding the ceiling at the boundaries of windows: a time span that touches k + 1
+// windows covers at least k - 1 of them as a whole.
+TEST(WindowedQuotaTest, ConsecutiveWindowsAdmitNoMoreThanTheCeiling) {
   std::mt19937 random(3);
   std::uniform_real_distribution<double> rate(0.1, 50), depth(0.5, 200);
   for (int i = 0; i < 1000; ++i) {
@@ -42,10 +44,10 @@
                  .burst = depth(random),
                  .ceiling_rate = rate(random),
                  .ceiling_burst = depth(random)};
-    const WindowedQuota t(p);
+    const WindowedQuota quota(p);
     for (int k = 1; k < 20; ++k)
-      EXPECT_LE((k + 1) * t.limit,
-                p.ceiling_burst + p.ceiling_rate * seconds(t.window) * (k - 1) + 1e-6 * k);
+      EXPECT_LE((k + 1) * quota.limit,
+                p.ceiling_burst + p.ceiling_rate * seconds(quota.window) * (k - 1) + 1e-6 * k);
   }
 }
 
@@ -55,118 +57,129 @@
   limiter.consume(limiter.tokens() - tokens);
 }
 
-TEST(CounterRateLimiterTest, SavesUpToItsMostAndSpendsByWorth) {
-  CounterRateLimiter p(50ms, 100);
-  EXPECT_DOUBLE_EQ(p.rate(), 1 / (100 * 0.0025));
+// Guards against a burst of calls after an idle time, and against spending the last tokens on calls
+// of low priority.
+TEST(CounterRateLimiterTest, TokensAreCappedAtTheBurstAndSpentByPriority) {
+  CounterRateLimiter limiter(50ms, 100);
+  EXPECT_DOUBLE_EQ(limiter.rate(), 1 / (100 * 0.0025));
   Time now{1h};
-  p.refill(now);
-  p.refill(now + 1h);
-  EXPECT_DOUBLE_EQ(p.tokens(), p.burst());
-  EXPECT_TRUE(p.may_call(0));
-  set_tokens(p, 1);
-  EXPECT_TRUE(p.may_call(1));
-  EXPECT_FALSE(p.may_call(0.5));
-  EXPECT_EQ(p.time_until_call(1), Duration{});
-  EXPECT_GT(p.time_until_call(0), p.time_until_call(0.5));
-  p.enqueue(0.9, CustomerId{1});
-  p.enqueue(0.2, CustomerId{2});
-  EXPECT_EQ(p.queueing_time(0.5) - p.time_until_call(0.5),
-            from_seconds(1 / p.rate()));  // behind one of the two
+  limiter.refill(now);
+  limiter.refill(now + 1h);
+  EXPECT_DOUBLE_EQ(limiter.tokens(), limiter.burst());
+  EXPECT_TRUE(limiter.may_call(0));
+  set_tokens(limiter, 1);
+  EXPECT_TRUE(limiter.may_call(1));
+  EXPECT_FALSE(limiter.may_call(0.5));
+  EXPECT_EQ(limiter.time_until_call(1), Duration{});
+  EXPECT_GT(limiter.time_until_call(0), limiter.time_until_call(0.5));
+  limiter.enqueue(0.9, CustomerId{1});
+  limiter.enqueue(0.2, CustomerId{2});
+  EXPECT_EQ(limiter.queueing_time(0.5) - limiter.time_until_call(0.5),
+            from_seconds(1 / limiter.rate()));  // behind one of the two queued calls
 }
 
-TEST(CounterRateLimiterTest, FallsOnceForCallsOfOneMomentAndRisesWhileCallsAreHeldBack) {
-  CounterRateLimiter p(50ms, 100);
+// Guards against a rate that collapses because several calls in flight fail for one cause.
+TEST(CounterRateLimiterTest, RateFallsOnceForCallsInFlightTogetherAndRisesWhileCallsAreDelayed) {
+  CounterRateLimiter limiter(50ms, 100);
   const Time now{1h};
-  const double fair = p.rate();
-  p.on_response(now, CounterOutcome::timeout, 50ms);
-  EXPECT_DOUBLE_EQ(p.rate(), 0.7 * fair);
-  p.on_response(now + 1ms, CounterOutcome::timeout, 50ms);  // was out when the rate was cut
-  EXPECT_DOUBLE_EQ(p.rate(), 0.7 * fair);
-  set_tokens(p, 0);
-  p.on_response(now + 2ms, CounterOutcome::ok, 2ms);
-  EXPECT_DOUBLE_EQ(p.rate(), 0.9 * fair);
+  const double fair = limiter.rate();
+  limiter.on_response(now, CounterOutcome::timeout, 50ms);
+  EXPECT_DOUBLE_EQ(limiter.rate(), 0.7 * fair);
+  // This call was in flight when the rate was decreased.
+  limiter.on_response(now + 1ms, CounterOutcome::timeout, 50ms);
+  EXPECT_DOUBLE_EQ(limiter.rate(), 0.7 * fair);
+  set_tokens(limiter, 0);
+  limiter.on_response(now + 2ms, CounterOutcome::ok, 2ms);
+  EXPECT_DOUBLE_EQ(limiter.rate(), 0.9 * fair);
 }
 
-TEST(CounterRateLimiterTest, IsDownAfterThreeFailuresAndTriesOnceInTwoTimeouts) {
-  CounterRateLimiter p(50ms, 2);
+// Guards against calls at full rate to a counter that does not respond.
+TEST(CounterRateLimiterTest, CounterIsDownAfterThreeFailuresAndProbedOncePerTwoTimeouts) {
+  CounterRateLimiter limiter(50ms, 2);
   Time now{1h};
-  for (int i = 0; i < 3; ++i) p.on_response(now += 100ms, CounterOutcome::timeout, 50ms);
-  EXPECT_TRUE(p.is_down());
-  EXPECT_EQ(p.down_since(), now);
-  EXPECT_DOUBLE_EQ(p.rate(), 10);
-  EXPECT_FALSE(p.may_call(1));
-  p.refill(now);
-  p.refill(now += 100ms);
-  EXPECT_TRUE(p.may_call(1));
-  p.on_response(now, CounterOutcome::ok, 1ms);
-  EXPECT_FALSE(p.is_down());
-  EXPECT_GE(p.rate(), p.fair_rate());
+  for (int i = 0; i < 3; ++i) limiter.on_response(now += 100ms, CounterOutcome::timeout, 50ms);
+  EXPECT_TRUE(limiter.is_down());
+  EXPECT_EQ(limiter.down_since(), now);
+  EXPECT_DOUBLE_EQ(limiter.rate(), 10);
+  EXPECT_FALSE(limiter.may_call(1));
+  limiter.refill(now);
+  limiter.refill(now += 100ms);
+  EXPECT_TRUE(limiter.may_call(1));
+  limiter.on_response(now, CounterOutcome::ok, 1ms);
+  EXPECT_FALSE(limiter.is_down());
+  EXPECT_GE(limiter.rate(), limiter.fair_rate());
 }
-// However large the fleet, calls that are held back rise as fast until a line was seen, and anew
-// after an outage.
-TEST(CounterRateLimiterTest, SlowStartLastsUntilALineWasSeen) {
-  for (const double fleet : {30.0, 300.0, 3000.0}) {
-    CounterRateLimiter p(50ms, fleet);
+// Guards against a slow start whose speed depends on the size of the fleet. While calls are delayed
+// the rate rises equally fast in every fleet until a queue is observed, and again after an outage.
+TEST(CounterRateLimiterTest, SlowStartLastsUntilAQueueIsObserved) {
+  for (const double gateways : {30.0, 300.0, 3000.0}) {
+    CounterRateLimiter limiter(50ms, gateways);
     Time now{1h};
-    const auto answered = [&](Duration span,
-                              Duration took) {  // as many calls as the rate allows, all held back
+    // Makes as many calls as the rate allows, all of them delayed.
+    const auto respond_at_rate = [&](Duration span, Duration response_time) {
       for (const Time end = now + span; now < end;)
-        now += from_seconds(1 / p.rate()), set_tokens(p, 0),
-            p.on_response(now, CounterOutcome::ok, took);
+        now += from_seconds(1 / limiter.rate()), set_tokens(limiter, 0),
+            limiter.on_response(now, CounterOutcome::ok, response_time);
     };
-    const double began = p.rate();
-    answered(3s, 2ms);
-    EXPECT_GT(p.rate(), 3 * began) << fleet;
-    now += 1s, p.on_response(now, CounterOutcome::ok, 40ms);  // a line
-    const double after = p.rate();
-    set_tokens(p, 0), p.on_response(now += 1ms, CounterOutcome::ok, 2ms);
-    EXPECT_NEAR(p.rate(), after + 0.2 * p.fair_rate(), 1e-9) << fleet;
-    for (int i = 0; i < 3; ++i) p.on_response(now += 100ms, CounterOutcome::timeout, 50ms);
-    ASSERT_TRUE(p.is_down());
-    p.on_recovered();
-    EXPECT_FALSE(p.is_down());
-    EXPECT_GE(p.rate(), p.fair_rate());
-    const double again = p.rate();
-    set_tokens(p, 0), p.on_response(now += 100ms, CounterOutcome::ok, 2ms);
-    EXPECT_NEAR(p.rate(), again + std::max(1.0, 0.2 * p.fair_rate()), 1e-9) << fleet;
+    const double initial_rate = limiter.rate();
+    respond_at_rate(3s, 2ms);
+    EXPECT_GT(limiter.rate(), 3 * initial_rate) << gateways;
+    now += 1s, limiter.on_response(now, CounterOutcome::ok, 40ms);  // a queue
+    const double rate_after_queue = limiter.rate();
+    set_tokens(limiter, 0), limiter.on_response(now += 1ms, CounterOutcome::ok, 2ms);
+    EXPECT_NEAR(limiter.rate(), rate_after_queue + 0.2 * limiter.fair_rate(), 1e-9) << gateways;
+    for (int i = 0; i < 3; ++i) limiter.on_response(now += 100ms, CounterOutcome::timeout, 50ms);
+    ASSERT_TRUE(limiter.is_down());
+    limiter.on_recovered();
+    EXPECT_FALSE(limiter.is_down());
+    EXPECT_GE(limiter.rate(), limiter.fair_rate());
+    const double rate_after_outage = limiter.rate();
+    set_tokens(limiter, 0), limiter.on_response(now += 100ms, CounterOutcome::ok, 2ms);
+    EXPECT_NEAR(limiter.rate(), rate_after_outage + std::max(1.0, 0.2 * limiter.fair_rate()), 1e-9)
+        << gateways;
   }
 }
-// A counter that needs much of its time-out, or more, for each call alone: its answers show no line
-// there.
-TEST(CounterRateLimiterTest, ASlowCounterIsNotTakenForACrowdedOne) {
-  CounterRateLimiter p(30ms, 6);
+// Guards against a rate that collapses because each call alone takes most of the time-out or
+// longer: such response times show no queue at the counter.
+TEST(CounterRateLimiterTest, InherentlySlowCounterIsNotTreatedAsOverloaded) {
+  CounterRateLimiter limiter(30ms, 6);
   auto now = Time(1h);
-  for (int i = 0; i < 50; ++i) p.refill(now), p.on_response(now += 100ms, CounterOutcome::ok, 34ms);
-  EXPECT_NEAR(p.fair_rate(), 1 / (6 * 0.034), 1e-6);
-  EXPECT_GE(p.rate(), p.fair_rate());
-  const double before = p.rate();
-  p.on_response(now += 100ms, CounterOutcome::ok,
-                34ms + 30ms);  // a line of a time-out beyond its own time
-  EXPECT_LT(p.rate(), before);
+  for (int i = 0; i < 50; ++i)
+    limiter.refill(now), limiter.on_response(now += 100ms, CounterOutcome::ok, 34ms);
+  EXPECT_NEAR(limiter.fair_rate(), 1 / (6 * 0.034), 1e-6);
+  EXPECT_GE(limiter.rate(), limiter.fair_rate());
+  const double before = limiter.rate();
+  // A queue: one time-out longer than a call alone.
+  limiter.on_response(now += 100ms, CounterOutcome::ok, 34ms + 30ms);
+  EXPECT_LT(limiter.rate(), before);
 }
-// One that needs less than its time-out, but long enough for a line: that it is none shows at the
-// floor of the rate, where the fleet together leaves the counter three quarters of its time. A line
-// shows again by what it adds.
-TEST(CounterRateLimiterTest, AnswersThatStaySlowAtTheFloorAreTheCountersOwn) {
-  for (const Duration alone : {10ms, 15ms, 29ms}) {
-    CounterRateLimiter p(30ms, 4);
+// Guards against a rate that stays at its minimum because calls alone take long enough to look like
+// a queue. At the minimum rate the whole fleet leaves the counter idle for three quarters of the
+// time, so responses that stay slow there are inherently slow. A queue then shows by the time that
+// it adds.
+TEST(CounterRateLimiterTest, ResponsesThatStaySlowAtTheMinimumRateCountAsInherentlySlow) {
+  for (const Duration service_time : {10ms, 15ms, 29ms}) {
+    CounterRateLimiter limiter(30ms, 4);
     auto now = Time(1h);
-    const auto answered = [&](int n, Duration took) {  // while calls are held back
-      for (; n > 0; --n) set_tokens(p, 0), p.on_response(now += 100ms, CounterOutcome::ok, took);
+    const auto respond_delayed = [&](int n, Duration response_time) {  // while calls are delayed
+      for (; n > 0; --n)
+        set_tokens(limiter, 0),
+            limiter.on_response(now += 100ms, CounterOutcome::ok, response_time);
     };
-    for (int i = 0; i < 1000 && p.rate() > kMinRateShare * p.fair_rate(); ++i) answered(1, alone);
-    ASSERT_DOUBLE_EQ(p.rate(), kMinRateShare * p.fair_rate());
-    answered(kSlowResponsesAtFloor / 2, alone),
-        answered(1, 1ms);  // one that is quick: it may be a line
-    const double least = kMinRateShare * p.fair_rate();
-    while (p.rate() > least) answered(1, alone);
-    answered(kSlowResponsesAtFloor - 1, alone);
-    EXPECT_DOUBLE_EQ(p.rate(), least);
-    answered(100, alone);
-    EXPECT_GT(p.rate(), p.fair_rate());
-    const double before = p.rate();
-    answered(1, alone + 29ms);
-    EXPECT_LT(p.rate(), before);
+    for (int i = 0; i < 1000 && limiter.rate() > kMinRateShare * limiter.fair_rate(); ++i)
+      respond_delayed(1, service_time);
+    ASSERT_DOUBLE_EQ(limiter.rate(), kMinRateShare * limiter.fair_rate());
+    respond_delayed(kSlowResponsesAtFloor / 2, service_time),
+        respond_delayed(1, 1ms);  // one fast response: the cause may be a queue
+    const double min_rate = kMinRateShare * limiter.fair_rate();
+    while (limiter.rate() > min_rate) respond_delayed(1, service_time);
+    respond_delayed(kSlowResponsesAtFloor - 1, service_time);
+    EXPECT_DOUBLE_EQ(limiter.rate(), min_rate);
+    respond_delayed(100, service_time);
+    EXPECT_GT(limiter.rate(), limiter.fair_rate());
+    const double before = limiter.rate();
+    respond_delayed(1, service_time + 29ms);
+    EXPECT_LT(limiter.rate(), before);
   }
 }
 
@@ -177,7 +190,7 @@
   QuotaLeaseTable table{context};
   std::vector<std::unique_ptr<QuotaRequest>> requests;
 
-  QuotaRequest& ask(std::uint32_t plan = 0, std::uint64_t customer = 1) {
+  QuotaRequest& add_request(std::uint32_t plan = 0, std::uint64_t customer = 1) {
     requests.push_back(std::make_unique<QuotaRequest>(
         QuotaRequest{RequestId(requests.size()), PlanIndex(plan), CustomerId(customer)}));
     auto& a = *requests.back();
@@ -185,24 +198,26 @@
     table.record_request(a, table.lease_of(a));
     return a;
   }
-  // A request that waits, and the call that is made for it.
+  // Adds a waiting request and returns the counter call made for it.
   AddToCounter call(std::uint32_t plan = 0) {
-    auto& a = ask(plan);
+    auto& a = add_request(plan);
     auto& l = table.lease_of(a);
     l.waiting = {&a};
     EXPECT_TRUE(table.request_units(l));
-    const auto calls = taken<AddToCounter>(context);
+    const auto calls = drain_actions<AddToCounter>(context);
     return calls.empty() ? AddToCounter{} : calls.front();
   }
-  QuotaLease* answer(const AddToCounter& c, double total, CounterOutcome o = CounterOutcome::ok) {
-    return table.on_response({c.key, o, total, 1ms});
+  QuotaLease* respond(const AddToCounter& c, double total,
+                      CounterOutcome outcome = CounterOutcome::ok) {
+    return table.on_response({c.key, outcome, total, 1ms});
   }
 };
 
-TEST_F(QuotaLeaseTableTest, UnitsAreLeasedTakenAndGoneWithTsuccessorWindow) {
+// Guards against spending units after the window for which they were leased.
+TEST_F(QuotaLeaseTableTest, LeasedUnitsAreTakenAndExpireWithTheirWindow) {
   const auto c = call();
   EXPECT_DOUBLE_EQ(c.amount, 4);
-  auto* l = answer(c, c.amount);
+  auto* l = respond(c, c.amount);
   ASSERT_TRUE(l);
   EXPECT_FALSE(table.has_outstanding_call(*l));
   auto& a = *requests[0];
@@ -216,56 +231,65 @@
   EXPECT_DOUBLE_EQ(l->state.current.held, 0);
 }
 
-TEST_F(QuotaLeaseTableTest, WhatPassesTheLimitIsNotHeldAndHandedBack) {
-  auto* l = answer(call(), 22);  // 18 by others, of 20
+// Guards against spending units over the limit, and against leaving them counted.
+TEST_F(QuotaLeaseTableTest, UnitsOverTheLimitAreNotHeldAndAreReturned) {
+  auto* l = respond(call(), 22);  // 18 of 20 units were added by others
   EXPECT_DOUBLE_EQ(l->state.current.held, 2);
   EXPECT_TRUE(l->state.current.exhausted);
-  const auto back = taken<AddToCounter>(context);
-  ASSERT_EQ(back.size(), 1u);
-  EXPECT_DOUBLE_EQ(back[0].amount, -2);
+  const auto returned = drain_actions<AddToCounter>(context);
+  ASSERT_EQ(returned.size(), 1u);
+  EXPECT_DOUBLE_EQ(returned[0].amount, -2);
 }
 
-TEST_F(QuotaLeaseTableTest, ATimedOutAddIsTakenOffAtTheNextCallButNotUnderACeiling) {
-  answer(call(), 0, CounterOutcome::timeout);
-  EXPECT_DOUBLE_EQ(call().amount, 0);  // four more, less the four that may have been added
-  answer(call(1), 0, CounterOutcome::timeout);
+// Guards against counting a timed-out call twice; under a ceiling it stays counted, as it may not
+// have been added.
+TEST_F(QuotaLeaseTableTest, UnitsOfATimedOutCallAreSubtractedFromTheNextCallExceptUnderACeiling) {
+  respond(call(), 0, CounterOutcome::timeout);
+  EXPECT_DOUBLE_EQ(call().amount, 0);  // four more units, less the four that may have been added
+  respond(call(1), 0, CounterOutcome::timeout);
   EXPECT_GT(call(1).amount, 0);
 }
 
-TEST_F(QuotaLeaseTableTest, AfterALossOfCountsAWindowUnderACeilingStaysShut) {
+// Guards against exceeding a ceiling after the counter has lost the units leased so far in a
+// window.
+TEST_F(QuotaLeaseTableTest, AfterACounterResetAWindowUnderACeilingStaysExhausted) {
   auto c = call(1);
-  answer(c, c.amount);
+  respond(c, c.amount);
   c = call(1);
-  auto* l = answer(c, c.amount);  // the first is missing
+  auto* l = respond(c, c.amount);  // the first amount is missing
   EXPECT_TRUE(l->state.current.exhausted);
-  auto& a = ask(1);
+  auto& a = add_request(1);
   l->waiting = {&a};
   EXPECT_FALSE(table.request_units(*l));
   context.now += table.until_next_window(*l);
-  auto& next = ask(1);
+  auto& next = add_request(1);
   l->waiting = {&next};
   EXPECT_TRUE(table.request_units(*l));
 }
 
-TEST_F(QuotaLeaseTableTest, CallsThatWaitGoByWorth) {
+// Guards against queued calls made in order of arrival.
+TEST_F(QuotaLeaseTableTest, QueuedCallsAreMadeInOrderOfPriority) {
   set_tokens(table.rate_limiter(), 0);
   for (const std::uint64_t customer : {1, 2}) {
-    auto& a = ask(customer == 2 ? 1 : 0, customer);
+    auto& a = add_request(customer == 2 ? 1 : 0, customer);
     auto& l = table.lease_of(a);
     l.waiting = {&a};
     EXPECT_TRUE(table.request_units(l));
   }
-  EXPECT_TRUE(taken<AddToCounter>(context).empty());
+  EXPECT_TRUE(drain_actions<AddToCounter>(context).empty());
   EXPECT_FALSE(table.next_in_queue());
   set_tokens(table.rate_limiter(), 1);
   auto* first = table.next_in_queue();
   ASSERT_TRUE(first);
-  EXPECT_EQ(first->state.customer, CustomerId{2});  // under a ceiling nothing passes without a call
+  // No request passes a ceiling without a call, so calls under a ceiling have priority.
+  EXPECT_EQ(first->state.customer, CustomerId{2});
 }
 
-TEST_F(QuotaLeaseTableTest, WhatIsHandedOverIsHeldOnce) {
+// Guards against units held by two processes after a hand-over, and against slots of the
+// predecessor that are never released.
+TEST_F(QuotaLeaseTableTest, UnitsHandedOverAreHeldOnlyByTheSuccessor) {
   const auto c = call();
-  auto* l = answer(c, c.amount);
+  auto* l = respond(c, c.amount);
   HandoverState s;
   table.export_state(s, {{CustomerId{1}, {context.now + 1s}}});
   EXPECT_DOUBLE_EQ(l->state.current.held, 0);
@@ -296,29 +320,31 @@
     const auto* l = find_or_null(open, id);
     return l ? *l : ConnectionCounts{1, 1};
   }
-  void list(std::uint32_t n, std::uint32_t zones = 1) {
+  void list_servers(std::uint32_t n, std::uint32_t zones = 1) {
     EndpointListUpdate u;
     for (std::uint32_t i = 1; i <= n; ++i)
       u.entries.push_back({.id = EndpointId(i), .zone = ZoneIndex(i % zones), .cell = i / 2});
     endpoints.apply_list(u);
   }
   Endpoint& server(std::uint32_t i) { return endpoints.get(EndpointId(i)); }
-  Request request(std::uint32_t cls = 0) {
-    return {context,
-            {RequestId(++next), ClassIndex(cls), PlanIndex(0), CustomerId(1), 2s, 1, 2, false},
-            classes};
+  Request request(std::uint32_t class_index = 0) {
+    return {
+        context,
+        {RequestId(++next), ClassIndex(class_index), PlanIndex(0), CustomerId(1), 2s, 1, 2, false},
+        classes};
   }
-  void attempt(std::uint32_t i, AttemptOutcome o, Duration took = 100ms) {
+  void attempt(std::uint32_t i, AttemptOutcome outcome, Duration took = 100ms) {
     const auto r = request();
     endpoints.on_forwarded(server(i), r.expected_latency());
     endpoints.on_attempt_ended(server(i), r,
                                {EndpointId(i), context.now, r.expected_latency(), false},
-                               {.outcome = o, .duration = took});
+                               {.outcome = outcome, .duration = took});
   }
 };
 
-TEST_F(EndpointTableTest, OneThatFailsMoreThanTheOthersIsTakenOutForAWhile) {
-  list(3);
+// Guards against a failing server that stays in use, and against one that stays ejected.
+TEST_F(EndpointTableTest, ServerThatFailsMoreThanTheOthersIsEjectedForALimitedTime) {
+  list_servers(3);
   for (int i = 0; i < 20 && !endpoints.is_ejected(server(1)); ++i) {
     attempt(1, AttemptOutcome::error);
     for (int k = 0; k < 5; ++k) attempt(2, AttemptOutcome::ok), attempt(3, AttemptOutcome::ok);
@@ -329,19 +355,21 @@
   EXPECT_FALSE(endpoints.is_ejected(server(1)));
 }
 
-TEST_F(EndpointTableTest, FaultsOfAllAreHeldAgainstNone) {
-  list(3);
+// Guards against ejecting servers for failures that all of them have in common.
+TEST_F(EndpointTableTest, FailuresCommonToAllServersEjectNone) {
+  list_servers(3);
   for (int i = 0; i < 60; ++i)
     for (std::uint32_t k = 1; k <= 3; ++k)
       attempt(k, i % 2 ? AttemptOutcome::ok : AttemptOutcome::error);
   EXPECT_EQ(endpoints.counts(context.now).excluded, 0u);
 }
 
-TEST_F(EndpointTableTest, AZoneIsLeftOnlyWhileAnotherAnswers) {
-  list(6, 2);
+// Guards against ejecting a zone while this gateway itself is cut off.
+TEST_F(EndpointTableTest, ZoneIsEjectedOnlyWhileAnotherZoneAnswers) {
+  list_servers(6, 2);
   attempt(2, AttemptOutcome::connect_failed);
   attempt(4, AttemptOutcome::connect_failed);
-  EXPECT_FALSE(endpoints.is_ejected(server(6)));  // it may be this gateway that is cut off
+  EXPECT_FALSE(endpoints.is_ejected(server(6)));  // this gateway itself may be cut off
   attempt(1, AttemptOutcome::ok);
   attempt(4, AttemptOutcome::connect_failed);
   EXPECT_TRUE(endpoints.is_ejected(server(6)));
@@ -349,8 +377,10 @@
   EXPECT_FALSE(endpoints.is_ejected(server(6)));
 }
 
-TEST_F(EndpointTableTest, AFailedConnectBesideOpenOnesIsABoundAndNotADeath) {
-  list(2);
+// Guards against ejecting a server that has reached its connection limit but answers on its open
+// connections.
+TEST_F(EndpointTableTest, FailedConnectBesideOpenConnectionsSetsAConnectionLimitWithoutEjection) {
+  list_servers(2);
   open[EndpointId(1)] = {0, 3};
   attempt(1, AttemptOutcome::ok);
   attempt(1, AttemptOutcome::connect_failed);
@@ -363,10 +393,12 @@
   }
 }
 
-TEST_F(EndpointTableTest, OutByHandHoldsWhateverTheListSaysAndOnePutBackIsCold) {
-  list(2);
+// Guards against a list update that ends an operator's ejection, and against full load right after
+// it.
+TEST_F(EndpointTableTest, OperatorEjectionHoldsAcrossListUpdatesAndItsEndBeginsSlowStart) {
+  list_servers(2);
   endpoints.apply_operator_ejection({EndpointId(1), true});
-  list(2);
+  list_servers(2);
   EXPECT_FALSE(endpoints.is_usable(server(1)));
   endpoints.apply_operator_ejection({EndpointId(1), false});
   EXPECT_TRUE(endpoints.is_usable(server(1)));
@@ -376,18 +408,19 @@
   EXPECT_FALSE(endpoints.in_slow_start(server(1)));
 }
 
-TEST_F(EndpointTableTest, ChoiceTellsNoServerFromNoRoomAndKeepsToItsBound) {
+// Guards against requests that wait although no server exists, and against exceeding the limit.
+TEST_F(EndpointTableTest, SelectionDistinguishesNoEndpointFromFullAndKeepsToTheConcurrencyLimit) {
   EXPECT_EQ(balancer.select(request()).kind, Selection::Kind::no_endpoint);
-  list(2);
-  int out = 0;
-  for (; out < 100; ++out) {
+  list_servers(2);
+  int forwarded = 0;
+  for (; forwarded < 100; ++forwarded) {
     const auto selection = balancer.select(request());
     if (selection.kind != Selection::Kind::endpoint) break;
     endpoints.on_forwarded(endpoints.get(selection.endpoint), 0.1);
   }
   EXPECT_EQ(balancer.select(request()).kind, Selection::Kind::wait);
-  EXPECT_NEAR(out, balancer.concurrency_limit(), 2);
-  EXPECT_EQ(server(1).in_flight + server(2).in_flight, static_cast<unsigned>(out));
+  EXPECT_NEAR(forwarded, balancer.concurrency_limit(), 2);
+  EXPECT_EQ(server(1).in_flight + server(2).in_flight, static_cast<unsigned>(forwarded));
   const double before = balancer.concurrency_limit();
   balancer.on_attempt_ended(request(), {.outcome = AttemptOutcome::ok, .duration = 700ms});
   EXPECT_DOUBLE_EQ(balancer.concurrency_limit(), before * 0.9);
@@ -395,7 +428,8 @@
   EXPECT_GT(balancer.concurrency_limit(), before * 0.9);
 }
 
-TEST_F(EndpointTableTest, WhatMayHaveRunRunsAgainOnlyWhereItsClassAllows) {
+// Guards against executing a request twice where its class does not allow it.
+TEST_F(EndpointTableTest, RequestThatMayHaveRunIsRetriedOnlyAsItsClassAllows) {
   auto safe = request(0), keyed = request(1), unsafe = request(2);
   for (auto* r : {&safe, &keyed, &unsafe}) {
     EXPECT_TRUE(r->may_retry(context.now));
@@ -411,12 +445,13 @@
   EXPECT_TRUE(keyed.may_go_to({.id = EndpointId(3), .cell = 1}));
   EXPECT_FALSE(keyed.may_go_to({.id = EndpointId(4), .cell = 2}));
   EXPECT_FALSE(unsafe.may_retry(context.now) || unsafe.client_may_retry(context.now));
-  EXPECT_FALSE(safe.may_retry(context.now + 800ms));  // its aim has passed
+  EXPECT_FALSE(safe.may_retry(context.now + 800ms));  // its latency objective has passed
 }
 
-// The span counts from the first attempt that may have run: for further ones, until their first
-// byte, and for the client that is told that it may try again.
-TEST_F(EndpointTableTest, AKeyedRequestIsRepeatedWithinItsSpanAlone) {
+// Guards against a retry after the server has forgotten the key. The deduplication window begins
+// with the first attempt that may have run; it limits the node's retries up to their first byte,
+// and the client's retries that a response invites.
+TEST_F(EndpointTableTest, RequestWithIdempotencyKeyIsRetriedOnlyWithinTheDeduplicationWindow) {
   context.settings.classes[1].deduplication_scope = DeduplicationScope::all,
   context.settings.classes[1].deduplication_window = 300ms;
   classes = std::make_shared<const ClassSnapshot>(context.settings, classes.get());
@@ -434,7 +469,8 @@
 
 // ---- Request timers
 
-TEST(RequestTimersTest, OneTimerIsSetForWhatComesFirst) {
+// Guards against one host timer per request, and against a timer set for a later due time.
+TEST(RequestTimersTest, OneTimerIsSetForTheEarliestDueTime) {
   DecisionContext context{settings(), nullptr, std::mt19937_64(1), Time(1h)};
   RequestTimers timers(context);
   Time first = Time::max(), second = Time::max();
@@ -442,7 +478,7 @@
   timers.set(RequestId{2}, second, context.now + 1s);
   timers.arm(context.now + 3s);
   timers.arm(context.now + 3s);  // armed already
-  const auto set = taken<SetTimer>(context);
+  const auto set = drain_actions<SetTimer>(context);
   ASSERT_EQ(set.size(), 1u);
   EXPECT_EQ(set[0].delay, 1s);
   context.now += 1s;
