--- a/tests/connection_limit_test.cpp
+++ b/tests/connection_limit_test.cpp
@@ -49,10 +49,10 @@
       if (const auto* s = std::get_if<Send>(&a)) return *s;
     return std::nullopt;
   }
-  void end_attempt(const Send& s, AttemptOutcome outcome, Duration took = 20ms,
-                   bool finished = true) {
-    last_actions = gateway.handle(now,
-                                  AttemptEnded{s.request, 0, s.endpoint, outcome, took, finished});
+  void end_attempt(const Send& s, AttemptOutcome outcome, Duration duration = 20ms,
+                   bool request_completed = true) {
+    last_actions = gateway.handle(
+        now, AttemptEnded{s.request, 0, s.endpoint, outcome, duration, request_completed});
   }
   void advance(Duration d) {  // timers fire meanwhile
     now += d;
@@ -60,6 +60,7 @@
   }
 };
 
+// Guards against handshakes while another server has an idle connection.
 TEST(ConnectionLimits, ServerWithAnIdleConnectionIsPreferredToAHandshake) {
   ConnectedHost h;
   h.list_servers(8);
@@ -110,15 +111,15 @@
   for (std::uint32_t i = 1; i <= 2; ++i) h.counts[EndpointId(i)] = {4, 4};
   h.gateway.handle(h.now, EndpointListUpdate{EndpointListKind::delta,
                                              {{.id = EndpointId(3), .started = h.now}}});
-  int cold = 0;
+  int slow_start_sends = 0;
   for (int i = 0; i < 400; ++i) {
     h.now += 20ms;
     const auto s = h.submit_request();
     ASSERT_TRUE(s);
-    cold += s->endpoint == EndpointId(3);
+    slow_start_sends += s->endpoint == EndpointId(3);
     h.end_attempt(*s, AttemptOutcome::ok);
   }
-  EXPECT_GT(cold, 20);
+  EXPECT_GT(slow_start_sends, 20);
 }
 // Guards against ejecting a server that has only reached its connection limit: a connect fails
 // while the server answers on other connections.
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -97,10 +97,10 @@
     const auto sends = actions_of<Send>();
     return sends.empty() ? std::nullopt : std::optional(sends[0]);
   }
-  void end_attempt(const Send& s, AttemptOutcome outcome, bool finished = false,
+  void end_attempt(const Send& s, AttemptOutcome outcome, bool request_completed = false,
                    Duration duration = 20ms, std::uint32_t attempt = 0) {
-    handle_event(
-        AttemptEnded{s.request, attempt, s.endpoint, outcome, duration, finished, 0, std::nullopt});
+    handle_event(AttemptEnded{s.request, attempt, s.endpoint, outcome, duration, request_completed,
+                              0, std::nullopt});
   }
 };
 
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -197,8 +197,9 @@
   EXPECT_EQ(admitted(15), 3);
 }
 
-// Six slots and 100 gateways: the even share is less than one slot. The units that the others have
-// leased in the present window decide once the counter has reported them.
+// Guards against a gateway that may use no slot, or too many, where the even share is less than
+// one: six slots and 100 gateways. The units that the other gateways have leased in the present
+// window decide once the counter has reported them.
 TEST(ConcurrencySlots, WithMoreGatewaysThanSlotsTheLeasesOfTheWindowDecide) {
   const auto admitted = [](double leased_elsewhere, Duration interval = {}) {
     auto s = settings();
@@ -220,7 +221,7 @@
     }
     return n;
   };
-  EXPECT_GE(admitted(0), 2);  // more than one, though above its even share
+  EXPECT_GE(admitted(0), 2);  // more than its even share
   EXPECT_EQ(admitted(12), 0);
   EXPECT_GE(admitted(12, 300ms), 1);  // these have completed by then: a response takes 100 ms
 }
@@ -1088,7 +1089,7 @@
   EXPECT_TRUE(h.submit_and_grant(99));
 }
 
-// Guards against ejecting a server for resets that all servers have equally often.
+// Guards against ejecting a server for resets that occur at all servers.
 TEST(Servers, OccasionalConnectionResetsDoNotEjectAServer) {
   Host h;
   h.list_servers(3);
--- a/tests/outlier_detection_test.cpp
+++ b/tests/outlier_detection_test.cpp
@@ -31,7 +31,7 @@
     Time start_time;
     AttemptOutcome outcome;
   };
-  // Outcome and duration of an attempt that is sent to a server at a time.
+  // Returns the outcome and duration of an attempt, given its server and start time.
   using ServerModel = std::function<std::pair<AttemptOutcome, Duration>(EndpointId, Time)>;
 
   std::vector<std::unique_ptr<Gateway>> gateways;
@@ -101,9 +101,9 @@
     }
   }
   bool chance(double p) { return std::uniform_real_distribution<double>()(random) < p; }
-  auto count_logs(const std::string& part) const {
-    return std::ranges::count_if(logs,
-                                 [&](const auto& l) { return l.find(part) != std::string::npos; });
+  auto count_logs(const std::string& fragment) const {
+    return std::ranges::count_if(
+        logs, [&](const auto& l) { return l.find(fragment) != std::string::npos; });
   }
   double share(EndpointId s) const {
     std::uint64_t all = 0;
@@ -233,15 +233,16 @@
                : std::pair(AttemptOutcome::ok, 100ms);
   };
   f.run(20s, 5);
-  const auto in_zone = [&] {
+  const auto sent_to_zone = [&] {
     std::uint64_t n = 0;
     for (const auto& [id, k] : f.forwarded_to) n += static_cast<std::uint32_t>(id) % 3 == 1 ? k : 0;
     return n;
   };
   unreachable = true, f.forwarded_to.clear();
   f.run(5s, 5);
-  std::cout << "requests sent by 20 gateways to an unreachable zone in 5 s: " << in_zone() << "\n";
-  EXPECT_LT(in_zone(), 20u * 10);
+  std::cout << "requests sent by 20 gateways to an unreachable zone in 5 s: " << sent_to_zone()
+            << "\n";
+  EXPECT_LT(sent_to_zone(), 20u * 10);
   EXPECT_GT(f.count_logs("left: it can't be reached"), 0);
   unreachable = false, f.forwarded_to.clear();
   f.run(60s, 5);
@@ -250,7 +251,7 @@
   f.run(20s, 5);
   std::uint64_t all = 0;
   for (const auto& [id, n] : f.forwarded_to) all += n;
-  EXPECT_GT(in_zone() * 4, all);  // a third, as before
+  EXPECT_GT(sent_to_zone() * 4, all);  // a third, as before
 }
 // Guards against ejecting all zones when nothing answers: then this gateway itself is cut off.
 TEST(OutlierDetection, GatewayThatIsCutOffEjectsNoZone) {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -333,12 +333,12 @@
         {RequestId(++next), ClassIndex(class_index), PlanIndex(0), CustomerId(1), 2s, 1, 2, false},
         classes};
   }
-  void attempt(std::uint32_t i, AttemptOutcome outcome, Duration took = 100ms) {
+  void attempt(std::uint32_t i, AttemptOutcome outcome, Duration duration = 100ms) {
     const auto r = request();
     endpoints.on_forwarded(server(i), r.expected_latency());
     endpoints.on_attempt_ended(server(i), r,
                                {EndpointId(i), context.now, r.expected_latency(), false},
-                               {.outcome = outcome, .duration = took});
+                               {.outcome = outcome, .duration = duration});
   }
 };
 
--- a/tests/request_state_test.cpp
+++ b/tests/request_state_test.cpp
@@ -18,17 +18,21 @@
                        .max_attempts = max_attempts});
 }
 
+// Guards against delivering a response that may belong to another request, and against withholding
+// the rest of one that is partly forwarded.
 TEST(RequestStateTest, TrailingBytesFailACompleteResponseOnlyBeforeItIsForwarded) {
   EXPECT_EQ(response_disposition(true, false, false), ResponseDisposition::deliver);
   EXPECT_EQ(response_disposition(true, true, false), ResponseDisposition::fail);
   EXPECT_EQ(response_disposition(true, true, true), ResponseDisposition::deliver);
   EXPECT_EQ(response_disposition(false, false, true), ResponseDisposition::fail);
 }
+// Guards against closing a client connection here while its request has no response.
 TEST(RequestStateTest, OnlyTheClientMayCloseASessionWithAPendingResponse) {
   EXPECT_EQ(check_session_close(true, true), InvariantViolation::closed_without_response);
   EXPECT_EQ(check_session_close(true, false), std::nullopt);
   EXPECT_EQ(check_session_close(false, true), std::nullopt);
 }
+// Guards against two attempts in flight for one request, and against more than the settings allow.
 TEST(RequestStateTest, SecondConcurrentAttemptAndTooManyAttemptsAreViolations) {
   auto r = request_state(Idempotency::idempotent, 2);
   EXPECT_EQ(r.check_forward(kStart), std::nullopt);
@@ -40,6 +44,8 @@
   r.on_attempt_ended(AttemptOutcome::reset);
   EXPECT_EQ(r.check_forward(kStart), InvariantViolation::too_many_attempts);
 }
+// Guards against executing a request twice: a non-idempotent one, or one with an idempotency key
+// after its deduplication window.
 TEST(RequestStateTest, RetryAfterPossibleExecutionDependsOnIdempotency) {
   for (const auto outcome : {AttemptOutcome::reset, AttemptOutcome::timeout, AttemptOutcome::error,
                              AttemptOutcome::cancelled}) {
@@ -58,6 +64,7 @@
     EXPECT_EQ(unsafe.check_forward(kStart), std::nullopt);
   }
 }
+// Guards against attempts whose response nobody receives, and against a second final answer.
 TEST(RequestStateTest, ForwardingAfterTheDeadlineTheResponseOrTheDisconnectIsAViolation) {
   EXPECT_EQ(request_state(Idempotency::idempotent).check_forward(kStart + 3s),
             InvariantViolation::forwarded_too_late);
@@ -72,6 +79,7 @@
   EXPECT_EQ(responded.check_respond(), InvariantViolation::second_response);
   EXPECT_EQ(streaming.check_respond(), InvariantViolation::second_response);
 }
+// Guards against reporting a request as overdue while its response is being forwarded.
 TEST(RequestStateTest, RequestIsNotOverdueOnceItsResponseStreams) {
   auto r = request_state(Idempotency::idempotent);
   EXPECT_FALSE(r.is_overdue(kStart + 2s, 300ms));
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -36,7 +36,7 @@
                                        {"slow work", 12, 5, 0.2, 1.8, 5, 0.3, 10}};
 // Every gateway has enough traffic to send each server several requests per second, so that only
 // the slow-start limit bounds the load.
-constexpr Deployment kHighTraffic[] = {{"much traffic", 6, 12, 0.05, 2.5, 1, 0.2, 6}};
+constexpr Deployment kHighTraffic[] = {{"high traffic", 6, 12, 0.05, 2.5, 1, 0.2, 6}};
 constexpr std::uint32_t kFleetSizes[] = {1, 3, 20, 30, 300};
 constexpr double kLeadTimeSeconds = 8;  // seconds of traffic before the servers start: longer than
                                         // the averaging time of the response rate
@@ -60,7 +60,7 @@
   // Maximum of sent / (N + 2 sqrt N + 2), where N is the number allowed. Above 1: a violation.
   double worst_ratio = 0;
   double sent = 0, allowed = 0;  // attempts at that maximum
-  double used_share = 0;         // fraction of the slow-start capacity that was sent
+  double used_share = 0;         // attempts sent, as a fraction of the slow-start capacity
 };
 
 // One simulation run. Events are processed in order of time, events of the same time in order of
@@ -104,7 +104,7 @@
       const double when = c_.restart_at_once ? 0.25 : 0.05 + 0.6 * (i + 0.5) / restarts;
       schedule(slow_start_begin_ + of_seconds(when * d_.slow_start_s), [this, g] { restart(g); });
     }
-    next_arrival();
+    schedule_next_arrival();
     while (!events_.empty() && events_.begin()->first.first < slow_start_end_) {
       auto node = events_.extract(events_.begin());
       now_ = node.key().first;
@@ -125,8 +125,8 @@
   std::uint32_t slow_start_count() const {
     return c_.slow_start_servers == 0 ? d_.servers : c_.slow_start_servers;
   }
-  void for_slow_start_servers(auto&& f) const {
-    for (std::uint32_t i = 0; i < slow_start_count(); ++i) f(EndpointId(i + 1));
+  void for_slow_start_servers(auto&& visit) const {
+    for (std::uint32_t i = 0; i < slow_start_count(); ++i) visit(EndpointId(i + 1));
   }
   Time notification_time(std::uint32_t g) const {
     return slow_start_begin_ + (g % 2 == 1 ? of_seconds(c_.notification_delay_s) : Duration{});
@@ -174,7 +174,7 @@
   void restart(std::uint32_t g) { ++nodes_[g].instance, start(g); }
   void send_list(std::uint32_t g) { handle_event(g, list(g)); }
 
-  void next_arrival() {
+  void schedule_next_arrival() {
     const bool is_surging = now_ >= slow_start_begin_ + of_seconds(d_.slow_start_s / 3);
     const double rate = c_.load * d_.servers * d_.capacity() * (is_surging ? c_.surge_factor : 1);
     schedule(now_ + of_seconds(-std::log(1 - random()) / rate), [this] {
@@ -186,7 +186,7 @@
                                   .customer = CustomerId(id % 1000),
                                   .time_left = 2s,
                                   .gateways = gateways_});
-      next_arrival();
+      schedule_next_arrival();
     });
   }
 
@@ -269,9 +269,9 @@
       RunStats worst;
       double used_share = 1;
       for (const std::uint64_t seed : {1, 2}) {
-        const auto f = Fleet(d, c, gateways, seed).run();
-        if (f.worst_ratio > worst.worst_ratio) worst = f;
-        used_share = std::min(used_share, f.used_share);
+        const auto result = Fleet(d, c, gateways, seed).run();
+        if (result.worst_ratio > worst.worst_ratio) worst = result;
+        used_share = std::min(used_share, result.used_share);
       }
       std::printf(
           "%-24s %3.0f%% %-12s %3u gateways: worst span %4.0f of %6.1f (+%5.1f), used %.2f%s\n",
