--- a/src/calendar/calendar.hpp
+++ b/src/calendar/calendar.hpp
@@ -1,33 +1,33 @@
-// Recurrence and time zones: libical expands rules, the date library reads the system's tzdata.
-// Slow beside the rest of the node (a rule that never occurs can take the library a second), so
-// never called on the path of a request.
+// Recurrence rules and time zones: expands rules with libical and reads the system's tzdata with
+// the date library. Never call it on the path of a request: a rule that never occurs can keep the
+// library busy for a second.
 #pragma once
 
 #include <map>
 #include <string>
 #include <vector>
 
-#include "business.hpp"
+#include "business_days.hpp"
 
 namespace petrelrail::calendar {
 
-using Holidays = std::map<std::string, std::vector<Date>>;  // by the calendar's name
+using Holidays = std::map<std::string, std::vector<Date>>;  // by the name of the calendar
 
 class Calendar {
  public:
   explicit Calendar(const Holidays& local = {});
-  // The days of a wish from `from` to `until` (which must be there) and the clock on them. Throws
-  // std::invalid_argument, naming what is wrong, for a zone or calendar that is not known, a rule
-  // that can't be read, and one without a day.
-  fleet::Reckoned reckon(const fleet::Wish& wish) const;
+  // Returns the days of a request from `from` to `until`, which must be set, with the UTC offsets
+  // of its time zone. Throws std::invalid_argument that names the error for an unknown time zone or
+  // calendar, a rule that can't be parsed, and a rule without a day in that period.
+  fleet::ResolvedReservation resolve(const fleet::ReservationRequest& request) const;
 
  private:
-  std::map<std::string, BusinessDays> days_;
+  std::map<std::string, BusinessDays> business_days_;
 };
 
-// Days of the rule, before exceptions and rolls.
-std::vector<Date> recur(const std::string& rule, Date from, Date until);
-// Throws std::invalid_argument for a zone that is not known.
-fleet::Offsets offsets_of(const std::string& zone, fleet::Minute from, fleet::Minute to);
+// Returns the days of a rule before exceptions and the business day convention are applied.
+std::vector<Date> expand_rule(const std::string& rule, Date from, Date until);
+// Throws std::invalid_argument for an unknown time zone.
+fleet::UtcOffsets utc_offsets(const std::string& time_zone, fleet::Minute from, fleet::Minute to);
 
 }  // namespace petrelrail::calendar
--- a/tests/golden_codec_test.cpp
+++ b/tests/golden_codec_test.cpp
@@ -2,9 +2,9 @@
 // compared with a golden file, and each golden file is read by the code of today.
 #include <array>
 
-#include "fleet/booking.hpp"
 #include "fleet/jobs_codec.hpp"
 #include "fleet/membership.hpp"
+#include "fleet/reservation.hpp"
 #include "fleet/shadow_verdict.hpp"
 #include "golden.hpp"
 #include "hot_restart.hpp"
@@ -152,25 +152,25 @@
   return states;
 }
 
-fleet::Booking booking() {
-  fleet::Booking b;
-  b.id = fleet::id_of(CustomerId{7}, "nightly");
-  b.wish.team = CustomerId{7};
-  b.wish.pace = {2500};
-  b.wish.last_pace = {5000};
-  b.wish.zone = "Europe/Madrid";
-  b.wish.calendar = "";
-  b.wish.rule = "FREQ=WEEKLY;BYDAY=MO,FR";
-  b.wish.roll = fleet::Roll::following;
-  b.wish.from = fleet::date_of("2026-12-07");
-  b.wish.until = fleet::date_of("2027-03-01");
-  b.wish.at = fleet::time_of_day("18:30");
-  b.wish.length = fleet::Minutes{90};
-  b.wish.except = {fleet::date_of("2026-12-25")};
-  b.decided = std::chrono::sys_seconds(1'796'000'000s);
-  b.content = fleet::content_of(b.wish);
-  b.windows_print = 0x01020304;
-  b.zone_print = 0x0a0b0c0d;
+fleet::Reservation reservation() {
+  fleet::Reservation b;
+  b.id = fleet::make_reservation_id(CustomerId{7}, "nightly");
+  b.request.customer = CustomerId{7};
+  b.request.rate = {2500};
+  b.request.month_end_rate = {5000};
+  b.request.time_zone = "Europe/Madrid";
+  b.request.calendar = "";
+  b.request.rule = "FREQ=WEEKLY;BYDAY=MO,FR";
+  b.request.convention = fleet::BusinessDayConvention::following;
+  b.request.from = fleet::parse_date("2026-12-07");
+  b.request.until = fleet::parse_date("2027-03-01");
+  b.request.start_time = fleet::parse_time_of_day("18:30");
+  b.request.window_length = fleet::Minutes{90};
+  b.request.excluded_dates = {fleet::parse_date("2026-12-25")};
+  b.decision_time = std::chrono::sys_seconds(1'796'000'000s);
+  b.content_hash = fleet::hash_content(b.request);
+  b.windows_fingerprint = 0x01020304;
+  b.offsets_fingerprint = 0x0a0b0c0d;
   return b;
 }
 
@@ -203,7 +203,7 @@
   add("job-states-0", fleet::encode_states(line_states(), 0));
   add("job-states-1", fleet::encode_states(line_states(), 1));
   add("job-marks", fleet::encode(fleet::JobMarks{30, 20, 2, true}));
-  add("booking", fleet::encode(booking()));
+  add("booking", fleet::encode(reservation()));
   add("shadow-sums", encoded_sums());
   add("shadow-verdict", fleet::encode(fleet::Spoken{41, 7, 2, 33}));
   add("shadow-map-verdict", fleet::encode(fleet::Spoken{41, fleet::kTheMap, 1, 34}));
@@ -236,7 +236,8 @@
 }
 
 TEST(GoldenRecords, OfBookingsAndShadowTrafficAreReadBackWhole) {
-  EXPECT_EQ(fleet::decode_booking(booking().id, golden_records("booking").at(0)), booking());
+  EXPECT_EQ(fleet::decode_reservation(reservation().id, golden_records("booking").at(0)),
+            reservation());
   const auto sums = fleet::decode_sums(golden_records("shadow-sums").at(0));
   ASSERT_TRUE(sums);
   EXPECT_EQ(sums->version, 41U);
