--- a/lab/shadow_study.cpp
+++ b/lab/shadow_study.cpp
@@ -137,12 +137,12 @@
     wrong += p.map == c.wrong || (c.wrong == MapFinding::must_not && p.bad_shards > 0) ? 1 : 0;
     if (p.map != MapFinding::undecided) copies.push_back(static_cast<double>(p.copies));
   }
-  const bool kept = wrong < fleet::kWrongRate * study.maps || wrong == 0;
+  const bool kept = wrong < fleet::kMaxErrorRate * study.maps || wrong == 0;
   std::printf("| %s | %s | %u | %u | %u | %u | %.0f | %s %.4f (goal under %.2f)%s |\n", c.name,
               c.what, study.maps, by_finding[1], by_finding[2], by_finding[0],
               percentile(copies, 0.5),
               c.wrong == MapFinding::must_not ? "wrong against it" : "wrong \"may be used\"",
-              static_cast<double>(wrong) / study.maps, fleet::kWrongRate, kept ? "" : " MISSED");
+              static_cast<double>(wrong) / study.maps, fleet::kMaxErrorRate, kept ? "" : " MISSED");
   std::fflush(stdout);
   return kept;
 }
--- a/src/fleet/shadow.cpp
+++ b/src/fleet/shadow.cpp
@@ -6,129 +6,129 @@
 namespace petrelrail::fleet {
 namespace {
 
-// Copies that may be saved up: a burst of lookups of the slice after a pause goes through, and no
-// more.
-constexpr double kSavedUp = 10;
-constexpr std::uint16_t kServerFailed = 500;  // statuses from it on
-constexpr std::uint32_t
-    kSpareRoom = 2;  // places under an open cap: the copy's, and one that stays free
-constexpr unsigned kVersionAt = 40, kShardAt = 24;  // bits of a verdict's number
-constexpr std::uint64_t kEpochBits = (1ULL << kShardAt) - 1;
+// Copies that the budget can accumulate, which bounds the burst of copies after a pause.
+constexpr double kMaxSavedCopies = 10;
+constexpr std::uint16_t kFirstServerError = 500;          // lowest HTTP status of a server error
+constexpr std::uint32_t kMinOpenSlots = 2;                // the copy's slot and one that stays free
+constexpr unsigned kVersionShift = 40, kShardShift = 24;  // bit positions in a record's number
+constexpr std::uint64_t kTermMask = (1ULL << kShardShift) - 1;
 
 }  // namespace
 
-bool ShadowTerms::operator==(const ShadowTerms& o) const {
-  return map == o.map && margins.differs == o.margins.differs &&
-         margins.failing == o.margins.failing && margins.slower == o.margins.slower &&
-         extra_work == o.extra_work;
+bool ShadowConfig::operator==(const ShadowConfig& o) const {
+  return map == o.map && tolerances.differs == o.tolerances.differs &&
+         tolerances.failing == o.tolerances.failing && tolerances.slower == o.tolerances.slower &&
+         max_copy_ratio == o.max_copy_ratio;
 }
 
-void validate(const ShadowTerms& terms) {
-  validate(terms.map);
-  validate(terms.margins);
-  if (!(terms.extra_work >= 0 && terms.extra_work <= 1))
+void validate(const ShadowConfig& config) {
+  validate(config.map);
+  validate(config.tolerances);
+  if (!(config.max_copy_ratio >= 0 && config.max_copy_ratio <= 1))
     throw std::invalid_argument("shadow: extra_work must be from 0 to 1");
 }
 
-const char* name_of(Why w) {
-  switch (w) {
-    case Why::copied: return "copied";
-    case Why::not_in_slice: return "not in slice";
-    case Why::ended: return "ended";
-    case Why::unsuitable: return "unsuitable";
-    case Why::conditions: return "conditions";
-    case Why::open_cap: return "open cap";
-    case Why::no_cell: return "no cell";
-    case Why::no_control: return "no control";
-    case Why::budget: return "budget";
+const char* name_of(SkipReason reason) {
+  switch (reason) {
+    case SkipReason::copied: return "copied";
+    case SkipReason::not_in_slice: return "not in slice";
+    case SkipReason::ended: return "ended";
+    case SkipReason::unsuitable: return "unsuitable";
+    case SkipReason::conditions: return "conditions";
+    case SkipReason::open_cap: return "open cap";
+    case SkipReason::no_cell: return "no cell";
+    case SkipReason::no_control: return "no control";
+    case SkipReason::budget: return "budget";
   }
   return "";
 }
 
-bool Answer::good() const { return whole && status < kServerFailed; }
+bool ResponseSummary::is_success() const { return is_complete && status < kFirstServerError; }
 
-Shadow::Shadow(const ShadowTerms& terms, std::uint32_t nodes, Origin self)
-    : terms_((validate(terms), terms)),
-      map_(terms.map),
+ShadowTraffic::ShadowTraffic(const ShadowConfig& config, std::uint32_t nodes, Origin self)
+    : config_((validate(config), config)),
+      map_(config.map),
       verdicts_(map_.version(), map_.shards()),
-      keeper_({nodes, map_.shards()}, self, map_.version()),
+      coordinator_({nodes, map_.shards()}, self, map_.version()),
       examples_(map_.shards()) {}
 
-Why Shadow::refusal(const Lookup& l, const Conditions& c, const CellView& cells,
-                    std::uint32_t shard) const {
-  if (verdicts_.ended(shard)) return Why::ended;
-  if (l.effect != Idempotency::idempotent || !l.second_copies || !l.attempt_left)
-    return Why::unsuitable;
-  if (!c.counter_answers || !c.zones_whole || !c.servers_warm || !c.requests_in_time)
-    return Why::conditions;
-  if (l.open_room && *l.open_room < kSpareRoom) return Why::open_cap;
-  // Both ways must be open whichever the coin says, or the halves would not be alike.
-  if (!cells.usable(map_.cell_of(shard))) return Why::no_cell;
-  if (!cells.second_server()) return Why::no_control;
-  return budget_ < 1 ? Why::budget : Why::copied;
+SkipReason ShadowTraffic::skip_reason(const Lookup& l, const NodeConditions& c,
+                                      const CellView& cells, std::uint32_t shard) const {
+  if (verdicts_.is_decided(shard)) return SkipReason::ended;
+  if (l.idempotency != Idempotency::idempotent || !l.is_copy_permitted || !l.has_attempt_left)
+    return SkipReason::unsuitable;
+  if (!c.is_counter_reachable || !c.are_zones_available || !c.are_servers_warm ||
+      !c.are_requests_on_time)
+    return SkipReason::conditions;
+  if (l.open_slots && *l.open_slots < kMinOpenSlots) return SkipReason::open_cap;
+  // Both arms must be available whichever is chosen, or they would get different lookups.
+  if (!cells.is_cell_usable(map_.cell_of(shard))) return SkipReason::no_cell;
+  if (!cells.has_control_server()) return SkipReason::no_control;
+  return budget_ < 1 ? SkipReason::budget : SkipReason::copied;
 }
 
-Choice Shadow::decide(const Lookup& lookup, const Conditions& conditions, const CellView& cells) {
-  ++figures_.lookups;
-  budget_ = std::min(kSavedUp, budget_ + terms_.extra_work);
-  Choice choice;
-  choice.version = map_.version();
-  if (map_.in_slice(lookup.path)) {
-    choice.shard = map_.shard_of(lookup.path);
-    choice.cell = map_.cell_of(choice.shard);
-    choice.why = refusal(lookup, conditions, cells, choice.shard);
+CopyDecision ShadowTraffic::decide(const Lookup& lookup, const NodeConditions& conditions,
+                                   const CellView& cells) {
+  ++stats_.lookups;
+  budget_ = std::min(kMaxSavedCopies, budget_ + config_.max_copy_ratio);
+  CopyDecision decision;
+  decision.version = map_.version();
+  if (map_.is_in_slice(lookup.path)) {
+    decision.shard = map_.shard_of(lookup.path);
+    decision.cell = map_.cell_of(decision.shard);
+    decision.reason = skip_reason(lookup, conditions, cells, decision.shard);
   }
-  ++figures_.by_why[static_cast<std::size_t>(choice.why)];
-  if (choice.why != Why::copied) return choice;
+  ++stats_.by_reason[static_cast<std::size_t>(decision.reason)];
+  if (decision.reason != SkipReason::copied) return decision;
   --budget_;
-  choice.copy = map_.half_of(lookup.path, lookup.request);
-  return choice;
+  decision.target = map_.choose_target(lookup.path, lookup.request_id);
+  return decision;
 }
 
-void Shadow::compared(const Choice& choice, std::string_view path, const Answer& primary,
-                      const Answer& copy) {
-  if (choice.copy == Copy::none) return;
-  if (choice.version != map_.version()) {
-    ++figures_.outdated;
+void ShadowTraffic::record_comparison(const CopyDecision& decision, std::string_view path,
+                                      const ResponseSummary& primary, const ResponseSummary& copy) {
+  if (decision.target == CopyTarget::none) return;
+  if (decision.version != map_.version()) {
+    ++stats_.outdated;
     return;
   }
-  if (!primary.good()) {
-    ++figures_.unpaired;
+  if (!primary.is_success()) {
+    ++stats_.unpaired;
     return;
   }
-  ++figures_.compared;
-  if (!copy.good()) {
-    ++figures_.failed;
-    return keeper_.count(choice.shard, choice.copy, {}, false);
+  ++stats_.compared;
+  if (!copy.is_success()) {
+    ++stats_.failed;
+    return coordinator_.record_copy(decision.shard, decision.target, {}, false);
   }
-  const bool differs = primary.status != copy.status || primary.length != copy.length ||
-                       primary.digest != copy.digest;
-  keeper_.count(choice.shard, choice.copy, copy.took, differs);
-  if (!differs) return;
-  ++figures_.differed;
-  auto& examples = examples_[choice.shard];
-  if (choice.copy == Copy::candidate && examples.size() < kMostExamples)
-    examples.push_back({std::string(path.substr(0, kMostPath)), primary, copy});
+  const bool is_different = primary.status != copy.status || primary.length != copy.length ||
+                            primary.digest != copy.digest;
+  coordinator_.record_copy(decision.shard, decision.target, copy.latency, is_different);
+  if (!is_different) return;
+  ++stats_.differing;
+  auto& examples = examples_[decision.shard];
+  if (decision.target == CopyTarget::candidate && examples.size() < kMaxExamples)
+    examples.push_back({std::string(path.substr(0, kMaxExamplePathBytes)), primary, copy});
 }
 
-bool Shadow::heard(std::string_view value) {
-  const auto spoken = decode_spoken(value);
-  if (!spoken || spoken->version != map_.version() ||
-      (spoken->shard != kTheMap && spoken->shard >= map_.shards()))
+bool ShadowTraffic::receive_verdict(std::string_view value) {
+  const auto verdict = decode_verdict(value);
+  if (!verdict || verdict->version != map_.version() ||
+      (verdict->shard != kWholeMap && verdict->shard >= map_.shards()))
     return false;
-  verdicts_.take(*spoken);
+  verdicts_.merge(*verdict);
   return true;
 }
 
-std::vector<Spoken> Shadow::speak(std::uint64_t epoch) {
-  auto spoken = findings(epoch, keeper_.known(), verdicts_, terms_.margins);
-  for (const auto& s : spoken) verdicts_.take(s);
-  return spoken;
+std::vector<PublishedVerdict> ShadowTraffic::publish_verdicts(std::uint64_t term) {
+  auto published = new_verdicts(term, coordinator_.known(), verdicts_, config_.tolerances);
+  for (const auto& s : published) verdicts_.merge(s);
+  return published;
 }
 
-RecordKey key_of(const Spoken& s, std::uint8_t space) {
-  return {space, static_cast<std::uint64_t>(s.version) << kVersionAt |
-                     static_cast<std::uint64_t>(s.shard) << kShardAt | (s.epoch & kEpochBits)};
+RecordKey verdict_record_key(const PublishedVerdict& s, std::uint8_t space) {
+  return {space, static_cast<std::uint64_t>(s.version) << kVersionShift |
+                     static_cast<std::uint64_t>(s.shard) << kShardShift | (s.term & kTermMask)};
 }
 
 }  // namespace petrelrail::fleet
--- a/src/fleet/shadow.hpp
+++ b/src/fleet/shadow.hpp
@@ -1,6 +1,6 @@
-// A candidate shard map in shadow, as one node sees it: which lookups are copied and where to, what
-// their answers were compared to, and which shards have ended (docs/shadow.md). Without I/O, clock
-// or randomness of its own: whoever sends the copies asks here.
+// Shadow traffic of one node for a candidate shard map: decides which lookups are copied and to
+// which arm, records the comparisons and stops decided shards (docs/shadow.md). Does no I/O and has
+// no clock or randomness; the caller sends the copies. Single-threaded.
 #pragma once
 
 #include <array>
@@ -11,138 +11,142 @@
 #include <vector>
 
 #include "petrelrail/settings.hpp"
-#include "shadow_keeper.hpp"
+#include "shadow_coordinator.hpp"
 #include "shadow_map.hpp"
 #include "shadow_verdict.hpp"
 
 namespace petrelrail::fleet {
 
-struct ShadowTerms {
-  MapTerms map;
-  Margins margins;
+struct ShadowConfig {
+  ShadowMapConfig map;
+  Tolerances tolerances;
   double
-      extra_work = 0.02;  // copies for each lookup sent, at most; over any span from a node's start
-  bool operator==(const ShadowTerms&) const;
+      max_copy_ratio = 0.02;  // copies per lookup, at most, over any period since the node's start
+  bool operator==(const ShadowConfig&) const;
 };
-// Throws std::invalid_argument, naming the field.
-void validate(const ShadowTerms& terms);
-
-// What holds at the node as a whole. No copies unless all of it does.
-struct Conditions {
-  bool counter_answers = false;
-  bool zones_whole = false;   // none is lost
-  bool servers_warm = false;  // none started a moment ago
-  bool requests_in_time = false;
+// Throws std::invalid_argument that names the field.
+void validate(const ShadowConfig& config);
+
+// State of the node. Lookups are copied only while all of these hold.
+struct NodeConditions {
+  bool is_counter_reachable = false;
+  bool are_zones_available = false;  // no zone is lost
+  bool are_servers_warm = false;     // no server is in its slow start
+  bool are_requests_on_time = false;
 };
 
 struct Lookup {
   std::string_view path;
-  std::string_view request;  // the client's X-Request-ID
-  Idempotency effect = Idempotency::non_idempotent;
-  bool second_copies = false;  // permitted
-  bool attempt_left = false;   // of those allowed, beyond what the request may still need
-  // Places left under the customer's open cap, this request's own attempt counted; none: there is
-  // no cap.
-  std::optional<std::uint32_t> open_room{};
+  std::string_view request_id;  // the client's X-Request-ID
+  Idempotency idempotency = Idempotency::non_idempotent;
+  bool is_copy_permitted = false;
+  bool has_attempt_left = false;  // beyond those that the request may still need
+  // Free slots below the customer's limit of open attempts, with this request's attempt counted;
+  // empty without a limit.
+  std::optional<std::uint32_t> open_slots{};
 };
 
-// What the caller knows of servers.
+// The caller's view of the servers.
 class CellView {
  public:
-  virtual bool usable(std::uint32_t cell) const = 0;  // a server listed there would be sent to now
-  virtual bool second_server()
-      const = 0;  // beside the one that the lookup went to, of today's route
+  virtual bool is_cell_usable(
+      std::uint32_t cell) const = 0;  // a server listed in the cell takes attempts
+  virtual bool has_control_server()
+      const = 0;  // another server of the current route than the lookup's
 
  protected:
   ~CellView() = default;
 };
 
-enum class Why : std::uint8_t {
+// Why a lookup was not copied, or `copied`.
+enum class SkipReason : std::uint8_t {
   copied,
   not_in_slice,
-  ended,       // the shard, or the map, has its verdict
-  unsuitable,  // not safe to repeat, second copies not permitted, no attempt left
+  ended,       // the shard or the map has a verdict
+  unsuitable,  // not safe to repeat, copies not permitted, no attempt left
   conditions,
   open_cap,
-  no_cell,     // nobody usable is listed in the mapped cell
-  no_control,  // no second server of today's route
+  no_cell,     // no usable server in the mapped cell
+  no_control,  // no second server of the current route
   budget
 };
-inline constexpr std::size_t kWhys = 9;
-const char* name_of(Why w);
+inline constexpr std::size_t kSkipReasons = 9;
+const char* name_of(SkipReason reason);
 
-struct Choice {
-  Copy copy = Copy::none;
-  Why why = Why::not_in_slice;
+struct CopyDecision {
+  CopyTarget target = CopyTarget::none;
+  SkipReason reason = SkipReason::not_in_slice;
   std::uint32_t version = 0, shard = 0;
-  std::uint32_t cell = 0;  // of a copy for the candidate
+  std::uint32_t cell = 0;  // mapped cell, target of a copy to the candidate
 };
 
-struct Answer {
-  bool whole = false;  // false: none, or it broke off, or it came too late
+// Response to a lookup or to its copy.
+struct ResponseSummary {
+  bool is_complete = false;  // false: none, truncated, or too late
   std::uint16_t status = 0;
   std::uint64_t length = 0;
   Digest digest;
-  Duration took{};
-  bool good() const;  // whole, and not a server's failure
+  Duration latency{};
+  bool is_success() const;  // complete and not a server error
 };
 
-// One that differed at the candidate's cell, for operators.
+// A difference at the candidate's cell, shown to operators.
 struct Example {
-  std::string path;  // its first kMostPath bytes
-  Answer primary, copy;
+  std::string path;  // its first kMaxExamplePathBytes bytes
+  ResponseSummary primary, copy;
 };
-inline constexpr std::size_t kMostExamples = 10, kMostPath = 200;
+inline constexpr std::size_t kMaxExamples = 10, kMaxExamplePathBytes = 200;
 
-class Shadow {
+class ShadowTraffic {
  public:
-  struct Figures {
+  struct Stats {
     std::uint64_t lookups = 0;
-    std::array<std::uint64_t, kWhys> by_why{};
-    std::uint64_t compared = 0, differed = 0, failed = 0;  // copies, of both halves
-    std::uint64_t unpaired = 0;  // copies whose client got no good answer: not counted
-    std::uint64_t outdated = 0;  // of a map that is not tried any more
+    std::array<std::uint64_t, kSkipReasons> by_reason{};
+    std::uint64_t compared = 0, differing = 0, failed = 0;  // copies to both arms
+    std::uint64_t unpaired = 0;  // copies left out, as the client's response was not a success
+    std::uint64_t outdated = 0;  // comparisons for another map version
   };
 
-  // Throws what validate() throws, and what ShadowKeeper does.
-  Shadow(const ShadowTerms& terms, std::uint32_t nodes, Origin self);
+  // Throws std::invalid_argument for an invalid configuration.
+  ShadowTraffic(const ShadowConfig& config, std::uint32_t nodes, Origin self);
 
-  // One lookup that is sent to its own server. A copy that it names is to be sent, and to end in
-  // compared().
-  Choice decide(const Lookup& lookup, const Conditions& conditions, const CellView& cells);
-  void compared(const Choice& choice, std::string_view path, const Answer& primary,
-                const Answer& copy);
+  // Decides whether to copy a lookup that is forwarded to its regular server. The caller must send
+  // the copy and report its result to record_comparison().
+  CopyDecision decide(const Lookup& lookup, const NodeConditions& conditions,
+                      const CellView& cells);
+  void record_comparison(const CopyDecision& decision, std::string_view path,
+                         const ResponseSummary& primary, const ResponseSummary& copy);
 
-  // A verdict, from a record or told directly: its shard's copies end. Whether it was one, of this
-  // version.
-  bool heard(std::string_view value);
-  // As the holder of the duty under this epoch: what there is to say that nobody has said. It is in
-  // force here at once; each is to be recorded, and told to all nodes.
-  std::vector<Spoken> speak(std::uint64_t epoch);
+  // Merges an encoded verdict from a record or a datagram, which ends the copies of its shard.
+  // Returns whether it was a verdict on this map version.
+  bool receive_verdict(std::string_view value);
+  // Called by the lease holder of this term. Returns the verdicts that have not been published;
+  // they apply on this node at once, and the caller records each and sends it to all nodes.
+  std::vector<PublishedVerdict> publish_verdicts(std::uint64_t term);
 
   const ShadowMap& map() const { return map_; }
-  const ShadowTerms& terms() const { return terms_; }
-  const Verdicts& verdicts() const { return verdicts_; }
-  ShadowKeeper& keeper() { return keeper_; }
-  const ShadowKeeper& keeper() const { return keeper_; }
+  const ShadowConfig& config() const { return config_; }
+  const ShadowVerdicts& verdicts() const { return verdicts_; }
+  ShadowCoordinator& coordinator() { return coordinator_; }
+  const ShadowCoordinator& coordinator() const { return coordinator_; }
   const std::vector<Example>& examples(std::uint32_t shard) const { return examples_.at(shard); }
-  const Figures& figures() const { return figures_; }
+  const Stats& stats() const { return stats_; }
 
  private:
-  Why refusal(const Lookup& lookup, const Conditions& conditions, const CellView& cells,
-              std::uint32_t shard) const;
+  SkipReason skip_reason(const Lookup& lookup, const NodeConditions& conditions,
+                         const CellView& cells, std::uint32_t shard) const;
 
-  ShadowTerms terms_;
+  ShadowConfig config_;
   ShadowMap map_;
-  Verdicts verdicts_;
-  ShadowKeeper keeper_;
+  ShadowVerdicts verdicts_;
+  ShadowCoordinator coordinator_;
   double budget_ = 0;  // copies
   std::vector<std::vector<Example>> examples_;
-  Figures figures_;
+  Stats stats_;
 };
 
-// The key of a verdict's record. Two holders' words on a shard are two records: which one counts,
-// Verdicts says.
-RecordKey key_of(const Spoken& spoken, std::uint8_t space);
+// Returns the key of a verdict's record. Verdicts of two lease holders on one shard have different
+// records; ShadowVerdicts decides which one applies.
+RecordKey verdict_record_key(const PublishedVerdict& verdict, std::uint8_t space);
 
 }  // namespace petrelrail::fleet
--- a/src/fleet/shadow_verdict.cpp
+++ b/src/fleet/shadow_verdict.cpp
@@ -9,15 +9,16 @@
 namespace petrelrail::fleet {
 namespace {
 
-// How the rate of wrong words against a map is shared out among kinds; half of what differs has is
-// the map's as a whole.
-constexpr double kForDiffers = kWrongRate / 2, kForFailing = kWrongRate / 4,
-                 kForSlower = kWrongRate / 4;
-constexpr double kForAllTogether = kForDiffers / 2, kForDiffersByShard = kForDiffers / 2;
-constexpr std::size_t kEdges = kBins - 1;
+// Division of the error rate of findings against a map among their kinds; half of the part for
+// differences belongs to the map as a whole.
+constexpr double kDiffersErrorRate = kMaxErrorRate / 2, kFailingErrorRate = kMaxErrorRate / 4,
+                 kSlowerErrorRate = kMaxErrorRate / 4;
+constexpr double kMapDiffersErrorRate = kDiffersErrorRate / 2,
+                 kShardDiffersErrorRate = kDiffersErrorRate / 2;
+constexpr std::size_t kBinEdges = kLatencyBins - 1;
 
-constexpr char kFormat = 2;
-constexpr std::size_t kSpokenBytes = 1 + 4 + 2 + 1 + 8;
+constexpr char kFormatVersion = 2;
+constexpr std::size_t kVerdictBytes = 1 + 4 + 2 + 1 + 8;
 
 template <class T>
 void put(std::string& bytes, T value) {
@@ -25,7 +26,7 @@
     bytes += static_cast<char>(static_cast<std::uint8_t>(value >> (8 * (i - 1))));
 }
 template <class T>
-T take_from(std::string_view& bytes) {
+T pop(std::string_view& bytes) {
   T value = 0;
   for (std::size_t i = 0; i < sizeof(T); ++i)
     value = static_cast<T>(static_cast<std::uint64_t>(value) << 8U |
@@ -33,8 +34,8 @@
   bytes.remove_prefix(sizeof(T));
   return value;
 }
-void check(double margin, const char* name) {
-  if (!(margin > 0 && margin < 1))
+void require_fraction(double tolerance, const char* name) {
+  if (!(tolerance > 0 && tolerance < 1))
     throw std::invalid_argument(std::string("shadow: margins: ") + name +
                                 " must be above 0 and below 1");
 }
@@ -60,104 +61,112 @@
   return "";
 }
 
-void validate(const Margins& m) {
-  check(m.differs, "differs");
-  check(m.failing, "failing");
-  check(m.slower, "slower");
+void validate(const Tolerances& tolerances) {
+  require_fraction(tolerances.differs, "differs");
+  require_fraction(tolerances.failing, "failing");
+  require_fraction(tolerances.slower, "slower");
 }
 
-Finding judge(const Sum& sum, std::uint32_t shards, const Margins& margins) {
-  const double part = 1.0 / shards;
-  const auto failing = sum.failing(), differing = sum.differing();
-  if (is_sufficient(log_evidence_of_worse(failing), kForFailing * part)) return Finding::failing;
-  if (is_sufficient(log_evidence_of_worse(differing), kForDiffersByShard * part))
+Finding evaluate_shard(const ShardStatistics& statistics, std::uint32_t shards,
+                       const Tolerances& tolerances) {
+  const double shard_share = 1.0 / shards;
+  const auto failing = statistics.failures(), differing = statistics.differences();
+  if (is_sufficient(log_evidence_of_worse(failing), kFailingErrorRate * shard_share))
+    return Finding::failing;
+  if (is_sufficient(log_evidence_of_worse(differing), kShardDiffersErrorRate * shard_share))
     return Finding::differs;
-  bool same = is_sufficient(log_evidence_of_excess_below(failing, margins.failing), kWrongRate) &&
-              is_sufficient(log_evidence_of_excess_below(differing, margins.differs), kWrongRate);
-  for (std::size_t edge = 0; edge < kEdges; ++edge) {
-    const auto later = sum.later(edge), within = sum.within(edge);
-    if (is_sufficient(log_evidence_of_excess_above(later, within, margins.slower),
-                      kForSlower * part / kEdges))
+  bool same = is_sufficient(log_evidence_of_excess_below(failing, tolerances.failing),
+                            kMaxErrorRate) &&
+              is_sufficient(log_evidence_of_excess_below(differing, tolerances.differs),
+                            kMaxErrorRate);
+  for (std::size_t edge = 0; edge < kBinEdges; ++edge) {
+    const auto slower = statistics.slower_than(edge), in_time = statistics.answered_within(edge);
+    if (is_sufficient(log_evidence_of_excess_above(slower, in_time, tolerances.slower),
+                      kSlowerErrorRate * shard_share / kBinEdges))
       return Finding::slower;
-    same = same &&
-           is_sufficient(log_evidence_of_excess_below(later, within, margins.slower), kWrongRate);
+    same = same && is_sufficient(log_evidence_of_excess_below(slower, in_time, tolerances.slower),
+                                 kMaxErrorRate);
   }
   return same ? Finding::same : Finding::undecided;
 }
 
-MapFinding judge_map(std::span<const Finding> findings, std::span<const Sum> sums) {
-  Trial together;
-  for (const auto& s : sums) together.add(s.differing());
-  const auto bad = [](Finding f) { return f > Finding::same; };
-  if (std::ranges::any_of(findings, bad) ||
-      is_sufficient(log_evidence_of_worse(together), kForAllTogether))
+MapFinding evaluate_map(std::span<const Finding> shard_results,
+                        std::span<const ShardStatistics> statistics) {
+  Trial all_shards;
+  for (const auto& s : statistics) all_shards.add(s.differences());
+  const auto is_bad = [](Finding f) { return f > Finding::same; };
+  if (std::ranges::any_of(shard_results, is_bad) ||
+      is_sufficient(log_evidence_of_worse(all_shards), kMapDiffersErrorRate))
     return MapFinding::must_not;
-  const auto same = [](Finding f) { return f == Finding::same; };
-  return std::ranges::all_of(findings, same) ? MapFinding::may_be_used : MapFinding::undecided;
+  const auto is_same = [](Finding f) { return f == Finding::same; };
+  return std::ranges::all_of(shard_results, is_same) ? MapFinding::may_be_used
+                                                     : MapFinding::undecided;
 }
 
-std::string encode(const Spoken& s) {
-  std::string bytes(1, kFormat);
+std::string encode(const PublishedVerdict& s) {
+  std::string bytes(1, kFormatVersion);
   put(bytes, s.version);
   put(bytes, s.shard);
   put(bytes, s.finding);
-  put(bytes, s.epoch);
+  put(bytes, s.term);
   return bytes;
 }
-std::optional<Spoken> decode_spoken(std::string_view bytes) {
-  if (bytes.size() != kSpokenBytes || bytes.front() != kFormat) return {};
+std::optional<PublishedVerdict> decode_verdict(std::string_view bytes) {
+  if (bytes.size() != kVerdictBytes || bytes.front() != kFormatVersion) return {};
   bytes.remove_prefix(1);
-  Spoken s;
-  s.version = take_from<std::uint32_t>(bytes);
-  s.shard = take_from<std::uint16_t>(bytes);
-  s.finding = take_from<std::uint8_t>(bytes);
-  s.epoch = take_from<std::uint64_t>(bytes);
-  const auto last = s.shard == kTheMap ? static_cast<std::uint8_t>(MapFinding::must_not)
-                                       : static_cast<std::uint8_t>(Finding::failing);
-  const bool sound = s.version >= 1 && s.version <= kMostMapVersion && s.epoch >= 1 &&
-                     s.finding >= 1 && s.finding <= last &&
-                     (s.shard == kTheMap || s.shard < kMostShards);
-  return sound ? std::optional(s) : std::nullopt;
+  PublishedVerdict s;
+  s.version = pop<std::uint32_t>(bytes);
+  s.shard = pop<std::uint16_t>(bytes);
+  s.finding = pop<std::uint8_t>(bytes);
+  s.term = pop<std::uint64_t>(bytes);
+  const auto last = s.shard == kWholeMap ? static_cast<std::uint8_t>(MapFinding::must_not)
+                                         : static_cast<std::uint8_t>(Finding::failing);
+  const bool is_valid = s.version >= 1 && s.version <= kMaxMapVersion && s.term >= 1 &&
+                        s.finding >= 1 && s.finding <= last &&
+                        (s.shard == kWholeMap || s.shard < kMaxShards);
+  return is_valid ? std::optional(s) : std::nullopt;
 }
 
-bool Verdicts::take(const Spoken& s) {
-  if (s.version != version_ || s.finding == 0 || (s.shard != kTheMap && s.shard >= shards_.size()))
+bool ShadowVerdicts::merge(const PublishedVerdict& s) {
+  if (s.version != version_ || s.finding == 0 ||
+      (s.shard != kWholeMap && s.shard >= shards_.size()))
     return false;
-  latest_epoch_ = std::max(latest_epoch_, s.epoch);
-  auto& held = s.shard == kTheMap ? map_ : shards_[s.shard];
-  // One holder says one thing; of two in its name the worse counts, so that all end alike.
-  const bool first = held.finding == 0 || s.epoch < held.epoch ||
-                     (s.epoch == held.epoch && s.finding > held.finding);
-  if (first) held = s;
-  return first;
+  latest_epoch_ = std::max(latest_epoch_, s.term);
+  auto& stored = s.shard == kWholeMap ? map_verdict_ : shards_[s.shard];
+  // A lease holder publishes one verdict on a shard; should two exist, all nodes keep the worse.
+  const bool is_replaced = stored.finding == 0 || s.term < stored.term ||
+                           (s.term == stored.term && s.finding > stored.finding);
+  if (is_replaced) stored = s;
+  return is_replaced;
 }
-std::vector<Spoken> Verdicts::all() const {
-  std::vector<Spoken> found;
+std::vector<PublishedVerdict> ShadowVerdicts::all() const {
+  std::vector<PublishedVerdict> out;
   for (const auto& s : shards_)
-    if (s.finding != 0) found.push_back(s);
-  if (map_.finding != 0) found.push_back(map_);
-  return found;
+    if (s.finding != 0) out.push_back(s);
+  if (map_verdict_.finding != 0) out.push_back(map_verdict_);
+  return out;
 }
 
-std::vector<Spoken> findings(std::uint64_t epoch, const SumTable& sums, const Verdicts& known,
-                             const Margins& margins) {
-  if (epoch < known.latest_epoch() || sums.version() != known.version() ||
-      known.of_map() != MapFinding::undecided)
+std::vector<PublishedVerdict> new_verdicts(std::uint64_t term, const StatisticsTable& statistics,
+                                           const ShadowVerdicts& known,
+                                           const Tolerances& tolerances) {
+  if (term < known.latest_term() || statistics.version() != known.version() ||
+      known.map_finding() != MapFinding::undecided)
     return {};
-  const auto totals = sums.totals();
-  std::vector<Finding> all(totals.size());
-  std::vector<Spoken> spoken;
+  const auto totals = statistics.totals();
+  std::vector<Finding> shard_findings(totals.size());
+  std::vector<PublishedVerdict> out;
   for (std::uint32_t shard = 0; shard < totals.size(); ++shard) {
-    all[shard] = known.of(shard);
-    if (all[shard] != Finding::undecided) continue;
-    all[shard] = judge(totals[shard], sums.shards(), margins);
-    if (all[shard] != Finding::undecided)
-      spoken.push_back({known.version(), static_cast<std::uint16_t>(shard),
-                        static_cast<std::uint8_t>(all[shard]), epoch});
+    shard_findings[shard] = known.shard_finding(shard);
+    if (shard_findings[shard] != Finding::undecided) continue;
+    shard_findings[shard] = evaluate_shard(totals[shard], statistics.shards(), tolerances);
+    if (shard_findings[shard] != Finding::undecided)
+      out.push_back({known.version(), static_cast<std::uint16_t>(shard),
+                     static_cast<std::uint8_t>(shard_findings[shard]), term});
   }
-  if (const auto map = judge_map(all, totals); map != MapFinding::undecided)
-    spoken.push_back({known.version(), kTheMap, static_cast<std::uint8_t>(map), epoch});
-  return spoken;
+  if (const auto map = evaluate_map(shard_findings, totals); map != MapFinding::undecided)
+    out.push_back({known.version(), kWholeMap, static_cast<std::uint8_t>(map), term});
+  return out;
 }
 
 }  // namespace petrelrail::fleet
--- a/src/world/shadow_trial.cpp
+++ b/src/world/shadow_trial.cpp
@@ -37,13 +37,13 @@
     bool failed = false, differs = false;
     Duration took{};
   };
-  End end(std::uint32_t shard, Copy half) {
+  End end(std::uint32_t shard, CopyTarget half) {
     auto& burst = bursts_[shard];
     if (burst > 0)
       --burst;
     else if (dice_.chance(kBurst / kBurstLookups))
       burst = kBurstLookups;
-    const bool candidate = half == Copy::candidate &&
+    const bool candidate = half == CopyTarget::candidate &&
                            (!truth_.only_shard || *truth_.only_shard == shard);
     End e;
     e.failed = dice_.chance(truth_.failing) || (candidate && dice_.chance(truth_.fails));
@@ -61,14 +61,14 @@
   std::vector<std::uint32_t> bursts_;
 };
 
-void put(Sum& sum, Copy half, const Endings::End& e) {
-  auto& h = half == Copy::candidate ? sum.candidate : sum.control;
+void put(ShardStatistics& sum, CopyTarget half, const Endings::End& e) {
+  auto& h = half == CopyTarget::candidate ? sum.candidate : sum.control;
   if (e.failed) {
     ++h.failed;
     return;
   }
-  ++h.times[bin_of(e.took)];
-  h.differs += e.differs ? 1 : 0;
+  ++h.latencies[latency_bin(e.took)];
+  h.differing += e.differs ? 1 : 0;
 }
 
 }  // namespace
@@ -81,28 +81,28 @@
   std::vector<double> up_to(shards);  // parts of traffic, added up
   double whole = 0;
   for (std::uint32_t s = 0; s < shards; ++s) up_to[s] = whole += 1.0 / (8 + s);
-  SumTable sums(1, shards);
-  std::vector<Sum> counted(shards);
-  Verdicts verdicts(1, shards);
+  StatisticsTable sums(1, shards);
+  std::vector<ShardStatistics> counted(shards);
+  ShadowVerdicts verdicts(1, shards);
   TrialOutcome outcome;
   auto gap = static_cast<double>(terms.look_every), look = gap;
   std::uint32_t looks = 0;
-  while (outcome.copies < terms.most_copies && verdicts.of_map() == MapFinding::undecided) {
+  while (outcome.copies < terms.most_copies && verdicts.map_finding() == MapFinding::undecided) {
     const auto shard = static_cast<std::uint32_t>(
         std::ranges::upper_bound(up_to, dice.part() * whole) - up_to.begin());
-    if (shard >= shards || verdicts.ended(shard)) continue;
-    const auto half = dice.chance(0.5) ? Copy::candidate : Copy::control;
+    if (shard >= shards || verdicts.is_decided(shard)) continue;
+    const auto half = dice.chance(0.5) ? CopyTarget::candidate : CopyTarget::control;
     put(counted[shard], half, endings.end(shard, half));
     if (static_cast<double>(++outcome.copies) < look) continue;
     if (++looks > 100) gap = std::max(gap, 0.02 * look);
     look += gap;
-    for (std::uint32_t s = 0; s < shards; ++s) sums.take({}, s, counted[s]);
-    for (const auto& spoken : findings(1, sums, verdicts, {})) verdicts.take(spoken);
+    for (std::uint32_t s = 0; s < shards; ++s) sums.merge({}, s, counted[s]);
+    for (const auto& spoken : new_verdicts(1, sums, verdicts, {})) verdicts.merge(spoken);
   }
-  outcome.map = verdicts.of_map();
+  outcome.map = verdicts.map_finding();
   for (std::uint32_t s = 0; s < shards; ++s) {
-    outcome.bad_shards += verdicts.of(s) > Finding::same ? 1 : 0;
-    outcome.same_shards += verdicts.of(s) == Finding::same ? 1 : 0;
+    outcome.bad_shards += verdicts.shard_finding(s) > Finding::same ? 1 : 0;
+    outcome.same_shards += verdicts.shard_finding(s) == Finding::same ? 1 : 0;
   }
   return outcome;
 }
@@ -125,19 +125,19 @@
         endings_(terms.truth, Dice(seed).stream("ends")),
         made_(terms.truth.shards),
         intake_(terms.nodes) {
-    ShadowTerms t;
+    ShadowConfig t;
     t.map.slots = terms.truth.shards;
     t.map.map = {{0, terms.truth.shards - 1, 1}};
     t.map.slice_ppm = terms.slice_ppm;
-    t.extra_work = terms.extra_work;
+    t.max_copy_ratio = terms.extra_work;
     for (std::uint32_t n = 0; n < terms.nodes; ++n) {
       living_.push_back({MemberId(static_cast<std::uint16_t>(n)), 1});
-      nodes_.push_back(std::make_unique<Shadow>(t, terms.nodes, living_.back()));
+      nodes_.push_back(std::make_unique<ShadowTraffic>(t, terms.nodes, living_.back()));
     }
     // Paths that all nodes look up alike; only those of the slice matter.
     for (std::uint32_t p = 0; p < kPaths; ++p) {
       auto path = "/prices/" + std::to_string(seed) + "/" + std::to_string(p);
-      if (nodes_[0]->map().in_slice(path)) paths_.push_back(std::move(path));
+      if (nodes_[0]->map().is_in_slice(path)) paths_.push_back(std::move(path));
     }
     view();
   }
@@ -158,9 +158,9 @@
   }
 
  private:
-  bool usable(std::uint32_t) const override { return true; }
-  bool second_server() const override { return true; }
-  Shadow& at(const Origin& o) { return *nodes_[index_of(o.node)]; }
+  bool is_cell_usable(std::uint32_t) const override { return true; }
+  bool has_control_server() const override { return true; }
+  ShadowTraffic& at(const Origin& o) { return *nodes_[index_of(o.node)]; }
   bool alive(const Origin& o) const { return std::ranges::find(living_, o) != living_.end(); }
   bool done() const {
     if (terms_.truth.fails > 0.5) return outcome_.stopped_after.has_value();
@@ -169,8 +169,9 @@
 
   void view() {
     for (const auto& o : living_) {
-      at(o).keeper().living(now_, living_);
-      at(o).keeper().listeners(std::span(living_).first(std::min<std::size_t>(2, living_.size())));
+      at(o).coordinator().set_live_nodes(now_, living_);
+      at(o).coordinator().set_collectors(
+          std::span(living_).first(std::min<std::size_t>(2, living_.size())));
     }
   }
   // The holder and a tenth of the others, untold; the fleet learns of it at once (members' part is
@@ -187,7 +188,7 @@
     // Lookups beside the slice only fill the budget, which is no bound here: those of the slice
     // alone are played.
     auto& node = at(o);
-    const double mean = terms_.lookups_per_s * terms_.slice_ppm / kWhole * seconds(kTick);
+    const double mean = terms_.lookups_per_s * terms_.slice_ppm / kPartsPerMillion * seconds(kTick);
     for (double t = dice_.exponential(1); t < mean; t += dice_.exponential(1)) {
       const auto& path = paths_[dice_.below(paths_.size())];
       const auto request = std::to_string(requests_++);
@@ -195,31 +196,31 @@
         node.decide({"", "", Idempotency::idempotent, true, true, {}}, {}, *this);
       const auto choice = node.decide({path, request, Idempotency::idempotent, true, true, {}},
                                       {true, true, true, true}, *this);
-      if (choice.copy == Copy::none) continue;
+      if (choice.target == CopyTarget::none) continue;
       ++outcome_.copies;
-      const auto e = endings_.end(choice.shard, choice.copy);
-      const Answer primary{true, 200, 40, {1, 1}, from_seconds(kMeanTook)};
-      Answer copy = primary;
-      copy.whole = !e.failed;
-      copy.took = e.took;
+      const auto e = endings_.end(choice.shard, choice.target);
+      const ResponseSummary primary{true, 200, 40, {1, 1}, from_seconds(kMeanTook)};
+      ResponseSummary copy = primary;
+      copy.is_complete = !e.failed;
+      copy.latency = e.took;
       if (e.differs) copy.digest.low = 2;
-      node.compared(choice, path, primary, copy);
-      put(made_[choice.shard], choice.copy, e);
+      node.record_comparison(choice, path, primary, copy);
+      put(made_[choice.shard], choice.target, e);
     }
   }
 
   void speak_and_hear(const Origin& o) {
-    auto& keeper = at(o).keeper();
-    for (auto& w : keeper.words(now_)) {
+    auto& keeper = at(o).coordinator();
+    for (auto& w : keeper.drain_reports(now_)) {
       ++outcome_.words;
       if (!wire_.chance(terms_.loss))
         way_.emplace(arrival(), Letter{o, w.to, std::move(w.bytes), false});
     }
     // Records come to all at once here: they take some seconds, and are written every few minutes.
-    for (const auto& due : keeper.records(now_, kSumSpace)) {
+    for (const auto& due : keeper.drain_records(now_, kSumSpace)) {
       records_.insert(due.key.number);
       for (const auto& other : living_)
-        if (other != o) at(other).keeper().recorded(due.key, due.value);
+        if (other != o) at(other).coordinator().apply_record(due.key, due.value);
     }
   }
   Time arrival() { return now_ + from_seconds(wire_.between(terms_.least_way, terms_.most_way)); }
@@ -231,8 +232,8 @@
       way_.erase(way_.begin());
       if (!alive(letter.to)) continue;
       if (letter.verdict) {
-        at(letter.to).heard(letter.bytes);
-      } else if (at(letter.to).keeper().received(now_, letter.from, letter.bytes)) {
+        at(letter.to).receive_verdict(letter.bytes);
+      } else if (at(letter.to).coordinator().receive_report(now_, letter.from, letter.bytes)) {
         ++intake_[index_of(letter.to.node)];
       } else {
         ++outcome_.dropped;
@@ -248,14 +249,14 @@
 
   void judge() {
     const auto holder = living_.front();
-    for (const auto& spoken : at(holder).speak(ended_ ? 2 : 1)) {
+    for (const auto& spoken : at(holder).publish_verdicts(ended_ ? 2 : 1)) {
       for (const double after : kTellings)
         tellings_.emplace(now_ + from_seconds(after), encode(spoken));
-      if (spoken.shard == kTheMap && !outcome_.told) outcome_.told = seconds(now_ - Time{});
+      if (spoken.shard == kWholeMap && !outcome_.told) outcome_.told = seconds(now_ - Time{});
       if (spoken.shard == terms_.truth.only_shard && evident_ && !outcome_.found_after)
         outcome_.found_after = seconds(now_ - *evident_);
     }
-    const auto known = at(holder).keeper().known().totals();
+    const auto known = at(holder).coordinator().known().totals();
     for (std::size_t s = 0; s < known.size(); ++s) {
       auto most = made_[s];
       most.merge(known[s]);
@@ -270,12 +271,12 @@
     if (!evident_ && judge_now(shard)) evident_ = now_;
     if (!evident_) return;
     bool all_know = true;
-    for (const auto& o : living_) all_know = all_know && at(o).verdicts().ended(shard);
+    for (const auto& o : living_) all_know = all_know && at(o).verdicts().is_decided(shard);
     if (all_know && !outcome_.stopped_after)
       outcome_.stopped_after = std::max(0.0, seconds(now_ - *evident_));
   }
   bool judge_now(std::uint32_t shard) const {
-    return fleet::judge(made_[shard], terms_.truth.shards, {}) > Finding::same;
+    return fleet::evaluate_shard(made_[shard], terms_.truth.shards, {}) > Finding::same;
   }
 
   void next_second() {
@@ -289,7 +290,7 @@
   void close() {
     std::uint64_t made = 0, known = 0;
     for (const auto& s : made_) made += s.candidate.copies() + s.control.copies();
-    for (const auto& s : at(living_.front()).keeper().known().totals())
+    for (const auto& s : at(living_.front()).coordinator().known().totals())
       known += s.candidate.copies() + s.control.copies();
     outcome_.counted = known;
     outcome_.lost = made - std::min(made, known);
@@ -304,10 +305,10 @@
   ShadowFleetTerms terms_;
   Dice dice_, wire_;
   Endings endings_;
-  std::vector<Sum> made_;
+  std::vector<ShardStatistics> made_;
   std::vector<std::uint32_t> intake_;
   std::vector<Origin> living_;
-  std::vector<std::unique_ptr<Shadow>> nodes_;
+  std::vector<std::unique_ptr<ShadowTraffic>> nodes_;
   std::vector<std::string> paths_;
   std::multimap<Time, Letter> way_;
   std::multimap<Time, std::string> tellings_;
--- a/tests/golden_codec_test.cpp
+++ b/tests/golden_codec_test.cpp
@@ -174,22 +174,22 @@
   return b;
 }
 
-fleet::Sum sum() {
-  fleet::Sum s;
-  for (std::size_t bin = 0; bin < fleet::kBins; ++bin) {
-    s.candidate.times[bin] = static_cast<std::uint32_t>(bin * bin);
-    s.control.times[bin] = static_cast<std::uint32_t>(300 * bin);
+fleet::ShardStatistics sum() {
+  fleet::ShardStatistics s;
+  for (std::size_t bin = 0; bin < fleet::kLatencyBins; ++bin) {
+    s.candidate.latencies[bin] = static_cast<std::uint32_t>(bin * bin);
+    s.control.latencies[bin] = static_cast<std::uint32_t>(300 * bin);
   }
   s.candidate.failed = 3;
-  s.candidate.differs = 5;
+  s.candidate.differing = 5;
   s.control.failed = 70'000;
   return s;
 }
 
 std::string encoded_sums() {
-  const std::vector<fleet::ShardSum> sums{{0, sum()}, {255, sum()}};
+  const std::vector<fleet::ShardEntry> sums{{0, sum()}, {255, sum()}};
   std::size_t from = 0;
-  return fleet::encode_sums(41, sums, from);
+  return fleet::encode_statistics(41, sums, from);
 }
 
 TEST(GoldenRecords, OfEachKindAreWrittenAsBefore) {
@@ -205,8 +205,8 @@
   add("job-marks", fleet::encode(fleet::JobMarks{30, 20, 2, true}));
   add("booking", fleet::encode(reservation()));
   add("shadow-sums", encoded_sums());
-  add("shadow-verdict", fleet::encode(fleet::Spoken{41, 7, 2, 33}));
-  add("shadow-map-verdict", fleet::encode(fleet::Spoken{41, fleet::kTheMap, 1, 34}));
+  add("shadow-verdict", fleet::encode(fleet::PublishedVerdict{41, 7, 2, 33}));
+  add("shadow-map-verdict", fleet::encode(fleet::PublishedVerdict{41, fleet::kWholeMap, 1, 34}));
   expect_golden("records.txt", text);
 }
 
@@ -238,14 +238,14 @@
 TEST(GoldenRecords, OfBookingsAndShadowTrafficAreReadBackWhole) {
   EXPECT_EQ(fleet::decode_reservation(reservation().id, golden_records("booking").at(0)),
             reservation());
-  const auto sums = fleet::decode_sums(golden_records("shadow-sums").at(0));
+  const auto sums = fleet::decode_statistics(golden_records("shadow-sums").at(0));
   ASSERT_TRUE(sums);
   EXPECT_EQ(sums->version, 41U);
   EXPECT_EQ(sums->shards.at(0).second, sum());
-  EXPECT_EQ(fleet::decode_spoken(golden_records("shadow-verdict").at(0)),
-            (fleet::Spoken{41, 7, 2, 33}));
-  EXPECT_EQ(fleet::decode_spoken(golden_records("shadow-map-verdict").at(0)),
-            (fleet::Spoken{41, fleet::kTheMap, 1, 34}));
+  EXPECT_EQ(fleet::decode_verdict(golden_records("shadow-verdict").at(0)),
+            (fleet::PublishedVerdict{41, 7, 2, 33}));
+  EXPECT_EQ(fleet::decode_verdict(golden_records("shadow-map-verdict").at(0)),
+            (fleet::PublishedVerdict{41, fleet::kWholeMap, 1, 34}));
 }
 
 // ---- Settings that can't be used ----------------------------------------------------------------
