--- a/lab/duty_study.cpp
+++ b/lab/duty_study.cpp
@@ -6,8 +6,8 @@
 #include <cstdio>
 #include <thread>
 
-#include "world/duty_cases.hpp"
-#include "world/duty_explorer.hpp"
+#include "world/lease_cases.hpp"
+#include "world/lease_explorer.hpp"
 
 namespace petrelrail::lab {
 namespace {
@@ -21,9 +21,9 @@
 }
 
 // One play for each seed, on all cores; the same whatever the cores.
-std::vector<DutyCaseFigures> play_seeds(const DutyCase& c, const DutyCaseTerms& terms,
+std::vector<LeaseCaseResult> play_seeds(const LeaseCase& c, const LeaseCaseConfig& terms,
                                         std::uint64_t first, std::uint32_t seeds) {
-  std::vector<DutyCaseFigures> found(seeds);
+  std::vector<LeaseCaseResult> found(seeds);
   std::atomic<std::uint32_t> next{0};
   std::vector<std::jthread> workers;
   for (unsigned w = 0; w < std::max(1U, std::thread::hardware_concurrency()); ++w)
@@ -31,7 +31,7 @@
       for (std::uint32_t i = next++; i < seeds; i = next++) {
         auto t = terms;
         t.seed = first + i;
-        found[i] = c.play(t);
+        found[i] = c.run(t);
       }
     });
   workers.clear();
@@ -39,8 +39,8 @@
 }
 
 struct Row {
-  std::vector<DutyCaseFigures> plays;
-  std::vector<double> all(std::vector<double> DutyCaseFigures::*figure) const {
+  std::vector<LeaseCaseResult> plays;
+  std::vector<double> all(std::vector<double> LeaseCaseResult::*figure) const {
     std::vector<double> values;
     for (const auto& p : plays) values.insert(values.end(), (p.*figure).begin(), (p.*figure).end());
     return values;
@@ -53,18 +53,18 @@
   }
   std::uint64_t breaches() const {
     std::uint64_t sum = 0;
-    for (const auto& p : plays) sum += p.breaches;
+    for (const auto& p : plays) sum += p.violation_count;
     return sum;
   }
 };
 
-DutyCaseTerms terms_of(const DutyStudy& s) {
-  DutyCaseTerms t;
+LeaseCaseConfig terms_of(const DutyStudy& s) {
+  LeaseCaseConfig t;
   if (s.nodes) t.nodes = *s.nodes;
-  if (s.times) t.times = *s.times;
+  if (s.times) t.repetitions = *s.times;
   if (s.loss) t.loss = *s.loss;
   if (s.seconds) t.seconds = *s.seconds;
-  t.members = s.members;
+  t.uses_membership = s.members;
   return t;
 }
 
@@ -78,18 +78,18 @@
       "most words in a second | effects refused | breaches | goals |\n");
   std::printf("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
   bool holds = true;
-  for (const auto& c : duty_cases()) {
+  for (const auto& c : lease_cases()) {
     if (!s.cases.empty() && std::ranges::find(s.cases, c.name) == s.cases.end()) continue;
     const Row row{play_seeds(c, terms, s.first_seed, s.seeds)};
-    const auto again = row.all(&DutyCaseFigures::again_s),
-               claims = row.all(&DutyCaseFigures::claims);
+    const auto again = row.all(&LeaseCaseResult::gaps_s),
+               claims = row.all(&LeaseCaseResult::claims);
     std::string missed;
     const auto goal = [&](double is, double at_most, const char* what) {
       if (at_most > 0 && is > at_most) missed += (missed.empty() ? "" : ", ") + std::string(what);
     };
-    goal(percentile(again, 0.99), c.again_p99, "held again late");
-    goal(percentile(again, 0.5), c.again_median, "held again late in the median");
-    goal(percentile(claims, 1), c.most_claims, "many claims");
+    goal(percentile(again, 0.99), c.max_gap_p99_s, "held again late");
+    goal(percentile(again, 0.5), c.max_gap_median_s, "held again late in the median");
+    goal(percentile(claims, 1), c.max_claims, "many claims");
     if (row.breaches() > 0) missed += (missed.empty() ? "" : ", ") + std::string("breaches");
     double refused = 0;
     for (const double r : row.of("refused")) refused += r;
@@ -100,14 +100,15 @@
     };
     std::printf(
         "| %s | %s | %s | %s | %s | %s | %.2f | %.1f | %.0f | %.0f | %llu | %s |\n", c.name.c_str(),
-        c.what.c_str(), cell(again, 0.5).c_str(), cell(again, 0.99).c_str(), cell(again, 1).c_str(),
+        c.description.c_str(), cell(again, 0.5).c_str(), cell(again, 0.99).c_str(),
+        cell(again, 1).c_str(),
         claims.empty() ? "" : std::to_string(static_cast<int>(percentile(claims, 1))).c_str(),
         percentile(row.of("calls_per_s"), 0.5), percentile(row.of("words_per_s"), 0.5),
         percentile(row.of("most_in"), 1), refused, static_cast<unsigned long long>(row.breaches()),
         missed.empty() ? "hold" : missed.c_str());
     for (const auto& p : row.plays)
-      for (std::size_t i = 0; i < std::min<std::size_t>(p.told.size(), 2); ++i)
-        std::printf("  %s\n", p.told[i].c_str());
+      for (std::size_t i = 0; i < std::min<std::size_t>(p.violations.size(), 2); ++i)
+        std::printf("  %s\n", p.violations[i].c_str());
     std::fflush(stdout);
     holds = holds && missed.empty();
   }
@@ -123,13 +124,13 @@
   for (const auto n : s.growth) {
     auto terms = terms_of(s);
     terms.nodes = n;
-    const Row calm{play_seeds(duty_case("calm"), terms, s.first_seed, s.seeds)};
-    const Row kill{play_seeds(duty_case("kill"), terms, s.first_seed, s.seeds)};
+    const Row calm{play_seeds(lease_case("calm"), terms, s.first_seed, s.seeds)};
+    const Row kill{play_seeds(lease_case("kill"), terms, s.first_seed, s.seeds)};
     std::printf("| %u | %.2f (worst %.2f) | %.1f | %.2f s | %.0f |\n", n,
                 percentile(calm.of("calls_per_s"), 0.5), percentile(calm.of("calls_per_s"), 1),
                 percentile(calm.of("words_per_s"), 0.5),
-                percentile(kill.all(&DutyCaseFigures::again_s), 0.99),
-                percentile(kill.all(&DutyCaseFigures::claims), 1));
+                percentile(kill.all(&LeaseCaseResult::gaps_s), 0.99),
+                percentile(kill.all(&LeaseCaseResult::claims), 1));
     std::fflush(stdout);
   }
   return 0;
@@ -137,9 +138,9 @@
 
 // The worlds at once, told in their order.
 int print_explored(const DutyStudy& s) {
-  auto worlds = duty_worlds(true);
+  auto worlds = exploration_scenarios(true);
   struct Found {
-    DutyExplored explored;
+    ExplorationResult explored;
     double took = 0;
   };
   std::vector<Found> found(worlds.size());
@@ -148,10 +149,10 @@
   for (unsigned w = 0; w < std::max(1U, std::thread::hardware_concurrency() / 2); ++w)
     workers.emplace_back([&] {
       for (auto i = next++; i < worlds.size(); i = next++) {
-        if (s.depth > 0) worlds[i].bounds.depth = s.depth;
-        if (s.states > 0) worlds[i].bounds.states = s.states;
+        if (s.depth > 0) worlds[i].bounds.max_depth = s.depth;
+        if (s.states > 0) worlds[i].bounds.max_states = s.states;
         const auto from = std::chrono::steady_clock::now();
-        found[i].explored = explore_duty(worlds[i].bounds);
+        found[i].explored = explore_lease(worlds[i].bounds);
         found[i].took = std::chrono::duration<double>(std::chrono::steady_clock::now() - from)
                             .count();
       }
@@ -165,8 +166,8 @@
     std::printf("| %s | %llu | %llu | %u | %s | %.1f s | %s |\n", worlds[i].name.c_str(),
                 static_cast<unsigned long long>(e.states), static_cast<unsigned long long>(e.steps),
                 e.depth, e.complete ? "yes" : "no", took,
-                e.breach.empty() ? "no breach" : e.breach.c_str());
-    holds = holds && e.breach.empty() != worlds[i].breaks;
+                e.violation.empty() ? "no breach" : e.violation.c_str());
+    holds = holds && e.violation.empty() != worlds[i].expects_violation;
   }
   for (std::size_t i = 0; i < worlds.size(); ++i) {
     if (found[i].explored.trace.empty()) continue;
@@ -180,7 +181,7 @@
 }  // namespace
 
 int duty_study(const DutyStudy& s) {
-  for (const auto& name : s.cases) duty_case(name);
+  for (const auto& name : s.cases) lease_case(name);
   if (s.explore) return print_explored(s);
   return s.growth.empty() ? print_cases(s) : print_growth(s);
 }
--- a/lab/members_study.cpp
+++ b/lab/members_study.cpp
@@ -31,16 +31,16 @@
 }
 
 // One play for each seed, on all cores; the same whatever the cores.
-std::vector<CaseFigures> play_seeds(const Case& c, CaseTerms terms, std::uint64_t first,
-                                    std::uint32_t seeds) {
-  std::vector<CaseFigures> found(seeds);
+std::vector<MemberCaseResult> play_seeds(const MemberCase& c, MemberCaseConfig terms,
+                                         std::uint64_t first, std::uint32_t seeds) {
+  std::vector<MemberCaseResult> found(seeds);
   std::atomic<std::uint32_t> next{0};
   std::vector<std::jthread> workers;
   for (unsigned w = 0; w < std::max(1U, std::thread::hardware_concurrency()); ++w)
     workers.emplace_back([&, terms]() mutable {
       for (std::uint32_t i = next++; i < seeds; i = next++) {
         terms.seed = first + i;
-        found[i] = c.play(terms);
+        found[i] = c.run(terms);
       }
     });
   workers.clear();
@@ -48,7 +48,7 @@
 }
 
 struct Row {
-  std::vector<CaseFigures> plays;
+  std::vector<MemberCaseResult> plays;
   Spread of(const std::string& figure) const {
     std::vector<double> values;
     for (const auto& p : plays)
@@ -57,7 +57,8 @@
   }
   double know(double part) const {
     std::vector<double> all;
-    for (const auto& p : plays) all.insert(all.end(), p.know.begin(), p.know.end());
+    for (const auto& p : plays)
+      all.insert(all.end(), p.detection_times_s.begin(), p.detection_times_s.end());
     return percentile(all, part);
   }
 };
@@ -68,11 +69,11 @@
   return t;
 }
 
-CaseTerms terms_of(const MembersStudy& s, CaseTerms t, bool own_loss = false) {
+MemberCaseConfig terms_of(const MembersStudy& s, MemberCaseConfig t, bool own_loss = false) {
   if (s.nodes) t.nodes = *s.nodes;
   if (s.loss && !own_loss) t.loss = *s.loss;
   if (s.seconds) t.seconds = *s.seconds;
-  t.plain = s.plain;
+  t.plain_swim = s.plain;
   return t;
 }
 
@@ -88,7 +89,7 @@
   std::printf("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (const auto& c : member_cases()) {
     if (!s.cases.empty() && std::ranges::find(s.cases, c.name) == s.cases.end()) continue;
-    const Row row{play_seeds(c, terms_of(s, c.terms, c.own_loss), s.first_seed, s.seeds)};
+    const Row row{play_seeds(c, terms_of(s, c.config, c.has_fixed_loss), s.first_seed, s.seeds)};
     const auto cell = [&](const char* figure) {
       const auto v = row.of(figure);
       return v.least == v.most
@@ -97,14 +98,14 @@
     };
     std::string missed;
     for (const auto& g : c.goals) {
-      const double worst = g.figure == "know_p99" ? row.know(0.99) : row.of(g.figure).most;
+      const double worst = g.metric == "know_p99" ? row.know(0.99) : row.of(g.metric).most;
       if (worst > g.at_most)
-        missed += (missed.empty() ? "" : ", ") + g.figure + " above " + text(g.at_most);
+        missed += (missed.empty() ? "" : ", ") + g.metric + " above " + text(g.at_most);
     }
-    const bool knows = !row.plays.front().know.empty(),
+    const bool knows = !row.plays.front().detection_times_s.empty(),
                agrees = row.plays.front().values.contains("agree_s");
-    std::printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", c.name.c_str(), c.what.c_str(),
-                knows ? (text(row.know(0.99)) + " s").c_str() : "",
+    std::printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", c.name.c_str(),
+                c.description.c_str(), knows ? (text(row.know(0.99)) + " s").c_str() : "",
                 agrees ? (cell("agree_s") + " s").c_str() : "", cell("wrong").c_str(),
                 cell("wrong_healthy").c_str(), cell("most_in").c_str(),
                 cell("bytes_out_per_s").c_str(), missed.empty() ? "hold" : missed.c_str());
--- a/src/world/member_cases.cpp
+++ b/src/world/member_cases.cpp
@@ -13,9 +13,9 @@
 using namespace std::chrono_literals;
 using fleet::MemberStatus;
 
-constexpr Duration kSettle = 10s;  // after a start, before anything is done
-constexpr Duration kMost = 60s;    // for anything to come about
-constexpr std::uint32_t kVictim = 17, kEach = 10;
+constexpr Duration kSettleTime = 10s;  // after the start, before a fault is injected
+constexpr Duration kMaxWait = 60s;     // for a condition to hold
+constexpr std::uint32_t kKilledNode = 17, kTenths = 10;
 
 const char* kind_name(std::size_t kind) {
   static constexpr std::array<const char*, std::variant_size_v<fleet::Body>> names{
@@ -24,171 +24,175 @@
   return names[kind];
 }
 
-// A fleet with what all cases count: verdicts, and of these the wrong ones.
-class Play {
+// A fleet and the metrics that all cases share: suspicions, and failures wrongly concluded.
+class CaseRun {
  public:
-  explicit Play(const CaseTerms& terms)
-      : terms_(terms),
-        dice_(Dice(mix_hash(terms.seed)).stream("case")),
-        fleet_(options(terms),
-               [this](Time at, std::uint32_t by, const fleet::StatusChange& v) { saw(at, by, v); }),
-        shaky_(terms.nodes),
-        from_(fleet_.now()) {}
+  explicit CaseRun(const MemberCaseConfig& config)
+      : config_(config),
+        dice_(Dice(mix_hash(config.seed)).stream("case")),
+        fleet_(options(config),
+               [this](Time time, std::uint32_t observer, const fleet::StatusChange& change) {
+                 on_status_change(time, observer, change);
+               }),
+        stalling_(config.nodes),
+        start_time_(fleet_.now()) {}
 
   MemberFleet& fleet() { return fleet_; }
   Dice& dice() { return dice_; }
-  double since(Time t) const { return petrelrail::seconds(fleet_.now() - t); }
-  // All are up and know each other, and all is quiet.
-  void settled() {
+  double seconds_since(Time t) const { return petrelrail::seconds(fleet_.now() - t); }
+  // Starts all nodes, waits until all views are accurate and resets the metrics.
+  void start_and_settle() {
     fleet_.start_all();
-    figures_.values["join_s"] = until([this] { return fleet_.agreed(); });
-    fleet_.run_for(kSettle);
-    forget();
+    result_.values["join_s"] = seconds_until([this] { return fleet_.views_are_accurate(); });
+    fleet_.run_for(kSettleTime);
+    reset_metrics();
   }
-  // Seconds until it holds; the most that is waited if it does not.
-  double until(const std::function<bool()>& holds) {
-    const Time from = fleet_.now();
-    fleet_.run_until(holds, kMost);
-    return since(from);
+  // Runs until `condition` holds, at most for kMaxWait; returns the seconds that passed.
+  double seconds_until(const std::function<bool()>& condition) {
+    const Time start = fleet_.now();
+    fleet_.run_until(condition, kMaxWait);
+    return seconds_since(start);
   }
-  void forget() {
+  void reset_metrics() {
     fleet_.reset_traffic();
-    figures_.know.clear();
-    wrong_ = wrong_healthy_ = suspicions_ = 0;
-    from_ = fleet_.now();
+    result_.detection_times_s.clear();
+    wrong_ = wrong_healthy_failures_ = suspicions_ = 0;
+    start_time_ = fleet_.now();
   }
-  // From here on it is counted how long each node takes to know that this one has failed.
-  void watch(std::uint32_t victim) { victim_ = victim, watched_from_ = fleet_.now(); }
-  // Failures of this one, which stalls, are counted apart.
-  void shaky(std::uint32_t node) { shaky_[node] = true; }
-  CaseFigures done() {
-    auto& v = figures_.values;
-    const double span = std::max(since(from_), 1e-9), nodes = terms_.nodes;
+  // Records from now on how long each node takes to detect the failure of `victim`.
+  void measure_detection(std::uint32_t victim) { victim_ = victim, fault_time_ = fleet_.now(); }
+  // Excludes a node that stalls from wrong_healthy: failures concluded of it count only in `wrong`.
+  void mark_stalling(std::uint32_t node) { stalling_[node] = true; }
+  MemberCaseResult result() {
+    auto& v = result_.values;
+    const double span = std::max(seconds_since(start_time_), 1e-9), nodes = config_.nodes;
     v["wrong"] = static_cast<double>(wrong_),
-    v["wrong_healthy"] = static_cast<double>(wrong_healthy_);
+    v["wrong_healthy"] = static_cast<double>(wrong_healthy_failures_);
     v["suspicions"] = static_cast<double>(suspicions_);
-    const auto worst = fleet_.worst();
-    v["most_in"] = static_cast<double>(worst.most_in);
-    for (std::size_t k = 0; k < worst.most_by_kind.size(); ++k)
-      if (worst.most_by_kind[k] > 0)
-        v[std::string("in_") + kind_name(k)] = static_cast<double>(worst.most_by_kind[k]);
-    v["bytes_out_per_s"] = static_cast<double>(fleet_.bytes()) / nodes / span;
-    v["datagrams_out_per_s"] = static_cast<double>(fleet_.sent()) / nodes / span;
-    return figures_;
+    const auto busiest = fleet_.busiest_traffic();
+    v["most_in"] = static_cast<double>(busiest.max_arrivals_per_s);
+    for (std::size_t k = 0; k < busiest.max_arrivals_by_kind.size(); ++k)
+      if (busiest.max_arrivals_by_kind[k] > 0)
+        v[std::string("in_") + kind_name(k)] = static_cast<double>(busiest.max_arrivals_by_kind[k]);
+    v["bytes_out_per_s"] = static_cast<double>(fleet_.bytes_sent()) / nodes / span;
+    v["datagrams_out_per_s"] = static_cast<double>(fleet_.datagrams_sent()) / nodes / span;
+    return result_;
   }
-  std::map<std::string, double>& values() { return figures_.values; }
+  std::map<std::string, double>& values() { return result_.values; }
 
  private:
-  static MemberFleet::Options options(const CaseTerms& t) {
+  static MemberFleet::Options options(const MemberCaseConfig& t) {
     MemberFleet::Options o;
     o.nodes = t.nodes, o.seed = t.seed;
-    o.peers.loss = t.loss, o.peers.in_per_s = t.in_per_s;
-    o.terms.plain_swim = t.plain;
+    o.peers.loss = t.loss, o.peers.in_per_s = t.inbox_per_s;
+    o.config.plain_swim = t.plain_swim;
     return o;
   }
-  void saw(Time at, std::uint32_t, const fleet::StatusChange& v) {
-    const auto about = static_cast<std::uint32_t>(v.member);
-    if (v.status == MemberStatus::suspect) ++suspicions_;
-    if (v.status != MemberStatus::failed) return;
-    if (victim_ == about) figures_.know.push_back(petrelrail::seconds(at - watched_from_));
-    if (!fleet_.up(about)) return;
+  void on_status_change(Time time, std::uint32_t, const fleet::StatusChange& change) {
+    const auto subject = static_cast<std::uint32_t>(change.member);
+    if (change.status == MemberStatus::suspect) ++suspicions_;
+    if (change.status != MemberStatus::failed) return;
+    if (victim_ == subject)
+      result_.detection_times_s.push_back(petrelrail::seconds(time - fault_time_));
+    if (!fleet_.is_up(subject)) return;
     ++wrong_;
-    if (!shaky_[about]) ++wrong_healthy_;
+    if (!stalling_[subject]) ++wrong_healthy_failures_;
   }
 
-  CaseTerms terms_;
+  MemberCaseConfig config_;
   Dice dice_;
   MemberFleet fleet_;
-  std::vector<bool> shaky_;
-  CaseFigures figures_;
+  std::vector<bool> stalling_;
+  MemberCaseResult result_;
   std::optional<std::uint32_t> victim_;
-  Time watched_from_{}, from_;
-  std::uint64_t wrong_ = 0, wrong_healthy_ = 0, suspicions_ = 0;
+  Time fault_time_{}, start_time_;
+  std::uint64_t wrong_ = 0, wrong_healthy_failures_ = 0, suspicions_ = 0;
 };
 
-CaseFigures start_at_once(const CaseTerms& t) {
-  Play p(t);
+MemberCaseResult start_at_once(const MemberCaseConfig& t) {
+  CaseRun p(t);
   p.fleet().start_all();
-  p.values()["agree_s"] = p.until([&] { return p.fleet().agreed(); });
-  return p.done();
+  p.values()["agree_s"] = p.seconds_until([&] { return p.fleet().views_are_accurate(); });
+  return p.result();
 }
 
-CaseFigures start_in_turn(const CaseTerms& t) {
-  Play p(t);
+MemberCaseResult start_one_by_one(const MemberCaseConfig& t) {
+  CaseRun p(t);
   for (std::uint32_t n = 0; n < t.nodes; ++n) {
     p.fleet().start(n);
     p.fleet().run_for(100ms);
   }
-  p.values()["agree_s"] = p.until([&] { return p.fleet().agreed(); });
-  return p.done();
+  p.values()["agree_s"] = p.seconds_until([&] { return p.fleet().views_are_accurate(); });
+  return p.result();
 }
 
-CaseFigures restart_in_tenths(const CaseTerms& t) {
-  Play p(t);
-  p.settled();
-  for (std::uint32_t r = 0; r < kEach; ++r) {
-    for (auto n = r * t.nodes / kEach; n < (r + 1) * t.nodes / kEach; ++n) p.fleet().start(n);
+MemberCaseResult restart_in_tenths(const MemberCaseConfig& t) {
+  CaseRun p(t);
+  p.start_and_settle();
+  for (std::uint32_t r = 0; r < kTenths; ++r) {
+    for (auto n = r * t.nodes / kTenths; n < (r + 1) * t.nodes / kTenths; ++n) p.fleet().start(n);
     p.fleet().run_for(2s);
   }
-  p.values()["agree_s"] = p.until([&] { return p.fleet().agreed(); });
-  return p.done();
+  p.values()["agree_s"] = p.seconds_until([&] { return p.fleet().views_are_accurate(); });
+  return p.result();
 }
 
-CaseFigures kill_one(const CaseTerms& t) {
-  Play p(t);
-  p.settled();
-  const auto victim = kVictim % t.nodes;
-  p.watch(victim);
+MemberCaseResult kill_one(const MemberCaseConfig& t) {
+  CaseRun p(t);
+  p.start_and_settle();
+  const auto victim = kKilledNode % t.nodes;
+  p.measure_detection(victim);
   p.fleet().kill(victim);
-  p.values()["agree_s"] = p.until([&] { return p.fleet().agreed(); });
-  return p.done();
+  p.values()["agree_s"] = p.seconds_until([&] { return p.fleet().views_are_accurate(); });
+  return p.result();
 }
 
-CaseFigures kill_most(const CaseTerms& t) {
-  Play p(t);
-  p.settled();
+MemberCaseResult kill_most(const MemberCaseConfig& t) {
+  CaseRun p(t);
+  p.start_and_settle();
   std::vector<std::uint32_t> all(t.nodes);
   for (std::uint32_t n = 0; n < t.nodes; ++n) all[n] = n;
   p.dice().shuffle(all);
   all.resize(static_cast<std::size_t>(0.7 * t.nodes));
   for (const auto n : all) p.fleet().kill(n);
-  p.values()["agree_s"] = p.until([&] { return p.fleet().agreed(); });
-  return p.done();
+  p.values()["agree_s"] = p.seconds_until([&] { return p.fleet().views_are_accurate(); });
+  return p.result();
 }
 
-CaseFigures quiet(const CaseTerms& t) {
-  Play p(t);
-  p.settled();
+MemberCaseResult quiet(const MemberCaseConfig& t) {
+  CaseRun p(t);
+  p.start_and_settle();
   p.fleet().run_for(from_seconds(t.seconds > 0 ? t.seconds : 3600));
-  return p.done();
+  return p.result();
 }
 
-CaseFigures stalls(const CaseTerms& t) {
-  Play p(t);
-  p.settled();
+MemberCaseResult stalls(const MemberCaseConfig& t) {
+  CaseRun p(t);
+  p.start_and_settle();
   const Range span{0.5, 2};
-  std::function<void(std::uint32_t)> fall, wake;
-  fall = [&](std::uint32_t n) {
+  std::function<void(std::uint32_t)> stall, resume;
+  stall = [&](std::uint32_t n) {
     p.fleet().stall(n, true);
-    p.fleet().at(p.fleet().now() + p.dice().seconds_in(span), [&, n] { wake(n); });
+    p.fleet().at(p.fleet().now() + p.dice().seconds_in(span), [&, n] { resume(n); });
   };
-  wake = [&](std::uint32_t n) {
+  resume = [&](std::uint32_t n) {
     p.fleet().stall(n, false);
-    p.fleet().at(p.fleet().now() + p.dice().seconds_in(span), [&, n] { fall(n); });
+    p.fleet().at(p.fleet().now() + p.dice().seconds_in(span), [&, n] { stall(n); });
   };
-  for (std::uint32_t n = 0; n < t.nodes; n += kEach) {
-    p.shaky(n);
-    p.fleet().at(p.fleet().now() + p.dice().seconds_in(span), [&, n] { fall(n); });
+  for (std::uint32_t n = 0; n < t.nodes; n += kTenths) {
+    p.mark_stalling(n);
+    p.fleet().at(p.fleet().now() + p.dice().seconds_in(span), [&, n] { stall(n); });
   }
   p.fleet().run_for(from_seconds(t.seconds > 0 ? t.seconds : 600));
-  return p.done();
+  return p.result();
 }
 
-CaseFigures cut_and_heal(const CaseTerms& t) {
-  Play p(t);
-  p.settled();
-  const auto edge = 2 * t.nodes / 3;
-  p.fleet().cut([edge](std::uint32_t a, std::uint32_t b) { return (a < edge) != (b < edge); });
+MemberCaseResult partition_and_heal(const MemberCaseConfig& t) {
+  CaseRun p(t);
+  p.start_and_settle();
+  const auto boundary = 2 * t.nodes / 3;
+  p.fleet().set_link_filter(
+      [boundary](std::uint32_t a, std::uint32_t b) { return (a < boundary) != (b < boundary); });
   p.fleet().run_for(6s);
   p.values()["small_side_knows"] = p.fleet().view(t.nodes - 1)->reachability ==
                                            fleet::Reachability::minority
@@ -198,80 +202,84 @@
                                        ? 1
                                        : 0;
   p.values()["not_known"] = 2 - p.values()["small_side_knows"] - p.values()["large_side_knows"];
-  p.fleet().cut({});
-  p.values()["agree_s"] = p.until([&] { return p.fleet().agreed(); });
-  return p.done();
+  p.fleet().set_link_filter({});
+  p.values()["agree_s"] = p.seconds_until([&] { return p.fleet().views_are_accurate(); });
+  return p.result();
 }
 
-CaseFigures one_way(const CaseTerms& t) {
-  Play p(t);
-  p.settled();
-  p.fleet().cut([&](std::uint32_t a, std::uint32_t b) {
+MemberCaseResult one_way_loss(const MemberCaseConfig& t) {
+  CaseRun p(t);
+  p.start_and_settle();
+  p.fleet().set_link_filter([&](std::uint32_t a, std::uint32_t b) {
     return p.fleet().zone(a) == 0 && p.fleet().zone(b) == 1;
   });
   p.fleet().run_for(from_seconds(t.seconds > 0 ? t.seconds : 60));
-  return p.done();
+  return p.result();
 }
 
-// One zone is seen by half of the others only, both ways.
-CaseFigures half_seen(const CaseTerms& t) {
-  Play p(t);
-  p.settled();
-  p.fleet().cut([&](std::uint32_t a, std::uint32_t b) {
-    const auto blind = [&](std::uint32_t n) { return p.fleet().zone(n) != 0 && n % 2 == 0; };
-    return (p.fleet().zone(a) == 0 && blind(b)) || (p.fleet().zone(b) == 0 && blind(a));
+// One zone and half of the nodes of the other zones don't reach each other.
+MemberCaseResult partial_partition(const MemberCaseConfig& t) {
+  CaseRun p(t);
+  p.start_and_settle();
+  p.fleet().set_link_filter([&](std::uint32_t a, std::uint32_t b) {
+    const auto is_cut_off = [&](std::uint32_t n) { return p.fleet().zone(n) != 0 && n % 2 == 0; };
+    return (p.fleet().zone(a) == 0 && is_cut_off(b)) || (p.fleet().zone(b) == 0 && is_cut_off(a));
   });
   p.fleet().run_for(from_seconds(t.seconds > 0 ? t.seconds : 60));
-  return p.done();
+  return p.result();
 }
 
-CaseTerms with_loss(double loss) {
-  CaseTerms t;
+MemberCaseConfig with_loss(double loss) {
+  MemberCaseConfig t;
   t.loss = loss;
   return t;
 }
 
 }  // namespace
 
-const std::vector<Case>& member_cases() {
-  const Goal intake{"most_in", 60};
-  static const std::vector<Case> all{
-      {"start", "all start at once", {}, {{"agree_s", 15}, intake, {"wrong", 0}}, start_at_once},
+const std::vector<MemberCase>& member_cases() {
+  const MemberCaseGoal intake{"most_in", 60};
+  static const std::vector<MemberCase> all{
+      {"start",
+       "all nodes start at once",
+       {},
+       {{"agree_s", 15}, intake, {"wrong", 0}},
+       start_at_once},
       {"turn",
-       "they start one by one, ten a second",
+       "nodes start one by one, ten a second",
        {},
        {{"agree_s", 15}, intake, {"wrong", 0}},
-       start_in_turn},
+       start_one_by_one},
       {"restart",
-       "they are restarted a tenth at a time",
+       "nodes are restarted a tenth at a time",
        {},
        {{"agree_s", 15}, intake, {"wrong", 0}},
        restart_in_tenths},
       {"kill-0",
-       "one is killed, no loss",
+       "one node is killed, no loss",
        with_loss(0),
        {{"know_p99", 4}, intake, {"wrong", 0}},
        kill_one,
        true},
       {"kill-5",
-       "one is killed, 5% loss",
+       "one node is killed, 5% loss",
        {},
        {{"know_p99", 4}, intake, {"wrong", 0}},
        kill_one,
        true},
       {"kill-30",
-       "one is killed, 30% loss",
+       "one node is killed, 30% loss",
        with_loss(0.3),
        {{"know_p99", 8}, intake},
        kill_one,
        true},
       {"mass",
-       "seven in ten are killed at once",
+       "seven in ten nodes are killed at once",
        {},
        {{"agree_s", 8}, intake, {"wrong", 0}},
        kill_most},
       {"quiet",
-       "an hour with nothing but 5% loss",
+       "an hour without faults but 5% loss",
        {},
        {{"wrong", 0}, {"bytes_out_per_s", 150}, intake},
        quiet},
@@ -284,21 +292,25 @@
        "cut into 200 and 100 for 6 s, healed",
        {},
        {{"agree_s", 5}, intake, {"not_known", 0}},
-       cut_and_heal},
-      {"one-way", "one zone is not heard by another", {}, {{"wrong", 0}, intake}, one_way},
+       partition_and_heal},
+      {"one-way",
+       "datagrams from one zone to another are lost",
+       {},
+       {{"wrong", 0}, intake},
+       one_way_loss},
       {"half-seen",
-       "half of the others don't reach one zone",
+       "half of the other nodes can't reach one zone",
        {},
        {{"wrong", 0}, intake},
-       half_seen},
+       partial_partition},
   };
   return all;
 }
 
-const Case& member_case(const std::string& name) {
+const MemberCase& member_case(const std::string& name) {
   const auto& all = member_cases();
-  const auto it = std::ranges::find(all, name, &Case::name);
-  if (it == all.end()) throw std::invalid_argument("there is no case \"" + name + "\"");
+  const auto it = std::ranges::find(all, name, &MemberCase::name);
+  if (it == all.end()) throw std::invalid_argument("unknown case \"" + name + "\"");
   return *it;
 }
 
--- a/src/world/member_cases.hpp
+++ b/src/world/member_cases.hpp
@@ -1,6 +1,6 @@
-// The cases that members are measured in, each one play of a fleet on the simulated clock: what is
-// done to it, and the figures that come of it. docs/members.md has the table; the lab's `members`
-// plays them over many seeds, tests over few.
+// The test cases of the membership protocol: each runs a simulated fleet under one fault and
+// returns metrics. docs/members.md has the table of results; the lab's `members` command runs the
+// cases over many seeds, tests over few.
 #pragma once
 
 #include <map>
@@ -11,35 +11,36 @@
 
 namespace petrelrail::world {
 
-struct CaseTerms {
+struct MemberCaseConfig {
   std::uint32_t nodes = 300;
-  double loss = 0.05;    // of each datagram
-  double in_per_s = 60;  // intake of a node
-  bool plain = false;    // SWIM of 2002 at the same pace
+  double loss = 0.05;       // probability for each datagram
+  double inbox_per_s = 60;  // datagrams per second that a node accepts
+  bool plain_swim = false;  // SWIM of 2002 at the same intervals
   std::uint64_t seed = 1;
-  double seconds = 0;  // of the cases that last: 0, what the case asks for
+  double seconds = 0;  // length of the cases that run for a fixed time; 0: the default of the case
 };
 
-// Figures by name. Times are in seconds; `know` lists how long each node took to know.
-struct CaseFigures {
+// `values`: metrics by name, times in seconds.
+struct MemberCaseResult {
   std::map<std::string, double> values;
-  std::vector<double> know;
+  std::vector<double> detection_times_s;  // of the failure, by observer
 };
 
-struct Goal {
-  std::string figure;  // of `values`, or "know_p99" over all nodes and seeds
+struct MemberCaseGoal {
+  std::string metric;  // of `values`, or "know_p99": 99th percentile of detection_times_s of all
+                       // nodes and seeds
   double at_most = 0;
 };
-struct Case {
-  std::string name, what;
-  CaseTerms terms;  // as the goals ask for them
-  std::vector<Goal> goals;
-  CaseFigures (*play)(const CaseTerms&);
-  bool own_loss = false;  // its loss makes the case: nobody's wish for another changes it
+struct MemberCase {
+  std::string name, description;
+  MemberCaseConfig config;  // under which the goals apply
+  std::vector<MemberCaseGoal> goals;
+  MemberCaseResult (*run)(const MemberCaseConfig&);
+  bool has_fixed_loss = false;  // the loss defines the case: the lab's option must not change it
 };
 
-const std::vector<Case>& member_cases();
-// Throws std::invalid_argument for a name that none has.
-const Case& member_case(const std::string& name);
+const std::vector<MemberCase>& member_cases();
+// Throws std::invalid_argument for an unknown name.
+const MemberCase& member_case(const std::string& name);
 
 }  // namespace petrelrail::world
--- a/src/world/member_fleet.hpp
+++ b/src/world/member_fleet.hpp
@@ -1,6 +1,6 @@
-// A fleet of members on one simulated clock: the real src/fleet/members of every node, and between
-// them the peer network of the world with cuts, stalls, deaths and restarts. The same seed gives
-// the same course.
+// Simulates a fleet that runs the membership protocol: the src/fleet Membership of every node and
+// the peer network between them on one simulated clock. Injects partitions, stalls, crashes and
+// restarts. Single-threaded; the same seed gives the same run.
 #pragma once
 
 #include <array>
@@ -23,91 +23,97 @@
   struct Options {
     std::uint32_t nodes = 300, zones = 3;
     PeerTerms peers{};
-    fleet::MembershipConfig terms{};  // `nodes` and `in_per_s` follow from the above
+    fleet::MembershipConfig config{};  // the constructor sets `nodes` and `inbox_per_s`
+                                       // from these options
     std::uint64_t seed = 1;
   };
-  // Told as a node concludes it: by whom and what.
-  using Watch = std::function<void(Time, std::uint32_t observer, const fleet::StatusChange&)>;
+  // Called when a node (`observer`) concludes a change of a member's status.
+  using StatusCallback = std::function<void(Time, std::uint32_t observer,
+                                            const fleet::StatusChange&)>;
 
   explicit MemberFleet(
-      Options options, Watch watch = [](Time, std::uint32_t, const fleet::StatusChange&) {});
+      Options options,
+      StatusCallback on_status_change = [](Time, std::uint32_t, const fleet::StatusChange&) {});
 
   std::uint32_t size() const { return options_.nodes; }
   std::uint32_t zone(std::uint32_t node) const { return node % options_.zones; }
   Time now() const { return agenda_.now(); }
-  Time began() const { return began_; }
+  Time start_time() const { return start_time_; }
 
-  // From nothing; a node that is up is started anew, as if it had been killed at that moment.
+  // Starts a process without hand-over state; kills the node's present process first.
   void start(std::uint32_t node);
   void start_all();
   void kill(std::uint32_t node);
   void leave(std::uint32_t node);
   void stall(std::uint32_t node, bool stalled);
-  bool up(std::uint32_t node) const { return nodes_[node].members != nullptr; }
-  // What is lost between two nodes besides chance; none: nothing.
-  void cut(std::function<bool(std::uint32_t from, std::uint32_t to)> lost) {
-    lost_ = std::move(lost);
+  bool is_up(std::uint32_t node) const { return nodes_[node].members != nullptr; }
+  // Drops all datagrams for which `drops` returns true, besides random loss; an empty function
+  // drops none.
+  void set_link_filter(std::function<bool(std::uint32_t from, std::uint32_t to)> drops) {
+    drops_ = std::move(drops);
   }
-  void lose(double share) { network_.lose(share); }
-  // A datagram of anybody's making, as if it came from a node's address.
+  void set_loss(double share) { network_.lose(share); }
+  // Delivers arbitrary bytes as a datagram from a node's address.
   void inject(std::uint32_t from, std::uint32_t to, std::string bytes);
-  // What every datagram is shown to as it arrives.
-  void overhear(
+  // `listener` is called for every datagram that arrives, before intake limits.
+  void set_datagram_listener(
       std::function<void(std::uint32_t from, std::uint32_t to, const std::string&)> listener) {
-    overheard_ = std::move(listener);
+    datagram_listener_ = std::move(listener);
   }
 
   void run_for(Duration span);
-  void at(Time when, std::function<void()> what) { agenda_.at(when, std::move(what)); }
-  // Runs until it holds, looked at every `step`; false: it did not within `most`.
-  bool run_until(const std::function<bool()>& holds, Duration most,
+  void at(Time when, std::function<void()> action) { agenda_.at(when, std::move(action)); }
+  // Runs until `condition` holds, which is evaluated every `step`; returns false if it does not
+  // within `timeout`.
+  bool run_until(const std::function<bool()>& condition, Duration timeout,
                  Duration step = std::chrono::milliseconds(50));
 
-  const fleet::Membership& members(std::uint32_t node) const { return *nodes_[node].members; }
+  const fleet::Membership& membership(std::uint32_t node) const { return *nodes_[node].members; }
   std::shared_ptr<const fleet::MembershipView> view(std::uint32_t node) const;
-  // Whether every node that is up holds just those for living that are up, all with the same
-  // incarnations.
-  bool agreed() const;
-  // The same of one node's view alone.
-  bool sees_all(std::uint32_t node) const;
+  // Whether the view of every running node is accurate.
+  bool views_are_accurate() const;
+  // Whether one node's view lists exactly the running nodes as living, each with its present
+  // incarnation.
+  bool view_is_accurate(std::uint32_t node) const;
 
   struct Traffic {
-    std::uint64_t sent = 0, bytes = 0;  // by a node
-    std::uint64_t most_in = 0;          // that came to it within any one second, taken in or not
-    // Of these by kind, in the order of the bodies.
-    std::array<std::uint64_t, std::variant_size_v<fleet::Body>> most_by_kind{};
+    std::uint64_t sent = 0, bytes = 0;     // datagrams sent by a node, and their bytes
+    std::uint64_t max_arrivals_per_s = 0;  // at the node within any one second, accepted or dropped
+    // The arrivals of that second by kind, in the order of fleet::Body.
+    std::array<std::uint64_t, std::variant_size_v<fleet::Body>> max_arrivals_by_kind{};
   };
   Traffic traffic(std::uint32_t node) const { return nodes_[node].traffic; }
-  std::uint64_t most_in() const;
-  // Of the node and second with the most.
-  Traffic worst() const;
-  std::uint64_t bytes() const;
-  std::uint64_t sent() const;
+  std::uint64_t max_arrivals_per_s() const;
+  // Returns the traffic of the node with the most arrivals within a second.
+  Traffic busiest_traffic() const;
+  std::uint64_t bytes_sent() const;
+  std::uint64_t datagrams_sent() const;
   void reset_traffic();
 
  private:
   struct Node {
     std::unique_ptr<fleet::Membership> members;
-    std::uint64_t lives = 0;
+    std::uint64_t generation = 0;  // of the process; rises with each start and kill
     bool stalled = false;
-    std::deque<std::pair<std::uint32_t, std::string>> inbox;  // while it is stalled
-    Time ticks_at = Time::max();
+    std::deque<std::pair<std::uint32_t, std::string>> inbox;  // during a stall
+    Time tick_time = Time::max();
     Traffic traffic;
-    std::deque<std::pair<Time, std::size_t>> came;  // within the last second, with their kinds
+    std::deque<std::pair<Time, std::size_t>>
+        recent_arrivals;  // of the last second, with their kinds
   };
 
-  void after(std::uint32_t node);
-  void arrive(std::uint32_t from, std::uint32_t to, const std::string& bytes);
+  void drain_outputs(std::uint32_t node);
+  void on_arrival(std::uint32_t from, std::uint32_t to, const std::string& bytes);
   void tick(std::uint32_t node);
 
   Options options_;
-  Watch watch_;
+  StatusCallback on_status_change_;
   Dice dice_;
   Agenda agenda_;
-  Time began_;
+  Time start_time_;
   PeerNetwork network_;
-  std::function<bool(std::uint32_t, std::uint32_t)> lost_;
-  std::function<void(std::uint32_t, std::uint32_t, const std::string&)> overheard_;
+  std::function<bool(std::uint32_t, std::uint32_t)> drops_;
+  std::function<void(std::uint32_t, std::uint32_t, const std::string&)> datagram_listener_;
   std::vector<Node> nodes_;
 };
 
--- a/tests/fleet/leader_lease_test.cpp
+++ b/tests/fleet/leader_lease_test.cpp
@@ -11,8 +11,8 @@
 
 #include "common/lookup.hpp"
 #include "common/time_math.hpp"
-#include "world/duty_cases.hpp"
-#include "world/duty_explorer.hpp"
+#include "world/lease_cases.hpp"
+#include "world/lease_explorer.hpp"
 
 namespace petrelrail::fleet::test {
 namespace {
@@ -352,17 +352,17 @@
 
 class LeaderLeaseFleetTest : public ::testing::TestWithParam<std::string> {};
 TEST_P(LeaderLeaseFleetTest, OneNodeActsAtATimeAndLeaseIsReacquired) {
-  const auto& c = world::duty_case(GetParam());
+  const auto& c = world::lease_case(GetParam());
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    world::DutyCaseTerms t;
-    t.nodes = 12, t.times = 2, t.seconds = 40, t.seed = seed;
-    const auto f = c.play(t);
-    EXPECT_EQ(f.breaches, 0U) << (f.told.empty() ? "" : f.told.front());
-    for (const double s : f.again_s) EXPECT_LT(s, c.again_p99 > 0 ? c.again_p99 : 8);
+    world::LeaseCaseConfig t;
+    t.nodes = 12, t.repetitions = 2, t.seconds = 40, t.seed = seed;
+    const auto f = c.run(t);
+    EXPECT_EQ(f.violation_count, 0U) << (f.violations.empty() ? "" : f.violations.front());
+    for (const double s : f.gaps_s) EXPECT_LT(s, c.max_gap_p99_s > 0 ? c.max_gap_p99_s : 8);
     // Without announcements other nodes can't tell whether a holder exists: each claims at the
     // counter, ever more rarely.
     const double usual = c.name == "cut-words" ? 40 : 30;
-    for (const double n : f.claims) EXPECT_LE(n, c.most_claims > 0 ? c.most_claims : usual);
+    for (const double n : f.claims) EXPECT_LE(n, c.max_claims > 0 ? c.max_claims : usual);
     EXPECT_GT(f.values.at("effects"), 100);
     if (c.name == "calm") {
       EXPECT_LT(f.values.at("calls_per_s"), 1.1);
@@ -374,7 +374,7 @@
 }
 std::vector<std::string> names() {
   std::vector<std::string> all;
-  for (const auto& c : world::duty_cases()) all.push_back(c.name);
+  for (const auto& c : world::lease_cases()) all.push_back(c.name);
   return all;
 }
 INSTANTIATE_TEST_SUITE_P(Cases, LeaderLeaseFleetTest, ::testing::ValuesIn(names()),
@@ -385,41 +385,41 @@
                          });
 TEST(LeaderLeaseFleetTest, DetectsViolationWithoutFencing) {
   // Without a fencing check at receivers, late effects of an older epoch follow newer ones.
-  world::DutyFleet::Options o;
-  o.nodes = 5, o.fenced = false;
-  world::DutyFleet fleet(o);
+  world::LeaseFleet::Options o;
+  o.nodes = 5, o.uses_fencing = false;
+  world::LeaseFleet fleet(o);
   fleet.start_all();
   fleet.run_for(20s);
-  EXPECT_GT(fleet.breach_count(), 0U);
+  EXPECT_GT(fleet.violation_count(), 0U);
 }
 TEST(LeaderLeaseFleetTest, WorksWithViewsOfMembershipProtocol) {
-  world::DutyCaseTerms t;
-  t.nodes = 12, t.times = 2, t.members = true;
+  world::LeaseCaseConfig t;
+  t.nodes = 12, t.repetitions = 2, t.uses_membership = true;
   for (const char* name : {"kill", "sigterm", "cut-peers"}) {
-    const auto f = world::duty_case(name).play(t);
-    EXPECT_EQ(f.breaches, 0U);
-    for (const double s : f.again_s) EXPECT_LT(s, 8);
+    const auto f = world::lease_case(name).run(t);
+    EXPECT_EQ(f.violation_count, 0U);
+    for (const double s : f.gaps_s) EXPECT_LT(s, 8);
   }
 }
 TEST(LeaderLeaseCases, UnknownCaseThrows) {
-  EXPECT_THROW(world::duty_case("no-such"), std::invalid_argument);
+  EXPECT_THROW(world::lease_case("no-such"), std::invalid_argument);
 }
 
 // ---- All interleavings --------------------------------------------------------------------------
 
 TEST(LeaderLeaseExplorer, FindsViolationsOnlyWithoutSafeguards) {
-  for (auto& w : world::duty_worlds(false)) {
-    w.bounds.states = w.breaks ? 200'000 : 20'000;
-    const auto found = world::explore_duty(w.bounds);
-    EXPECT_EQ(!found.breach.empty(), w.breaks) << w.name << ": " << found.breach;
-    EXPECT_EQ(found.trace.size(), w.breaks ? found.depth : 0) << w.name;
+  for (auto& w : world::exploration_scenarios(false)) {
+    w.bounds.max_states = w.expects_violation ? 200'000 : 20'000;
+    const auto found = world::explore_lease(w.bounds);
+    EXPECT_EQ(!found.violation.empty(), w.expects_violation) << w.name << ": " << found.violation;
+    EXPECT_EQ(found.trace.size(), w.expects_violation ? found.depth : 0) << w.name;
     EXPECT_GT(found.states, 1000U) << w.name;
   }
 }
 TEST(LeaderLeaseExplorer, RejectsInvalidBounds) {
-  world::DutyBounds b;
+  world::ExplorationBounds b;
   b.nodes = 0;
-  EXPECT_THROW(world::explore_duty(b), std::invalid_argument);
+  EXPECT_THROW(world::explore_lease(b), std::invalid_argument);
 }
 
 }  // namespace
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -361,17 +361,18 @@
 class MembershipCase : public ::testing::TestWithParam<std::string> {};
 TEST_P(MembershipCase, ReachesItsGoals) {
   const auto& c = world::member_case(GetParam());
-  auto terms = c.terms;
+  auto terms = c.config;
   terms.seconds = 60;
-  auto played = c.play(terms);
-  std::ranges::sort(played.know);
+  auto played = c.run(terms);
+  std::ranges::sort(played.detection_times_s);
   for (const auto& g : c.goals) {
-    const double value = g.figure == "know_p99" ? played.know.at(played.know.size() * 99 / 100)
-                                                : played.values.at(g.figure);
-    EXPECT_LE(value, g.at_most) << g.figure;
+    const double value = g.metric == "know_p99" ? played.detection_times_s.at(
+                                                      played.detection_times_s.size() * 99 / 100)
+                                                : played.values.at(g.metric);
+    EXPECT_LE(value, g.at_most) << g.metric;
   }
   if (GetParam().starts_with("kill")) {
-    EXPECT_EQ(played.know.size(), terms.nodes - 1);
+    EXPECT_EQ(played.detection_times_s.size(), terms.nodes - 1);
   }
 }
 std::vector<std::string> names() {
@@ -387,16 +388,16 @@
                          });
 
 TEST(Fleet, StalledMembersAreFailedFarLessOftenThanWithPlainSwim) {
-  auto terms = world::member_case("stalls").terms;
+  auto terms = world::member_case("stalls").config;
   terms.nodes = 100, terms.seconds = 120;
-  const auto ours = world::member_case("stalls").play(terms).values.at("wrong");
-  terms.plain = true;
-  EXPECT_LE(20 * ours, world::member_case("stalls").play(terms).values.at("wrong"));
+  const auto ours = world::member_case("stalls").run(terms).values.at("wrong");
+  terms.plain_swim = true;
+  EXPECT_LE(20 * ours, world::member_case("stalls").run(terms).values.at("wrong"));
 }
 TEST(Fleet, LeavingIsKnownToAllAndARestartHasAHigherIncarnation) {
   MemberFleet f({.nodes = 12, .seed = 5});
   f.start_all();
-  ASSERT_TRUE(f.run_until([&] { return f.agreed(); }, 20s));
+  ASSERT_TRUE(f.run_until([&] { return f.views_are_accurate(); }, 20s));
   f.leave(3);
   const auto told = [&] {
     for (std::uint32_t n = 0; n < 12; ++n)
@@ -404,22 +405,22 @@
     return true;
   };
   EXPECT_TRUE(f.run_until(told, 3s));
-  const auto before = f.members(3).self().incarnation;
+  const auto before = f.membership(3).self().incarnation;
   f.kill(3);
   f.run_for(1s);
   f.start(3);
-  ASSERT_TRUE(f.run_until([&] { return f.agreed(); }, 20s));
-  EXPECT_GT(f.members(3).self().incarnation, before);
+  ASSERT_TRUE(f.run_until([&] { return f.views_are_accurate(); }, 20s));
+  EXPECT_GT(f.membership(3).self().incarnation, before);
   // Killed and restarted before any member detects it.
   f.kill(4), f.start(4);
-  ASSERT_TRUE(f.run_until([&] { return f.agreed(); }, 20s));
+  ASSERT_TRUE(f.run_until([&] { return f.views_are_accurate(); }, 20s));
 }
 TEST(Fleet, MembersWithAKeyDropDatagramsWithoutATag) {
   MemberFleet::Options o{.nodes = 8, .seed = 3};
-  o.terms.key = key_of("00112233445566778899aabbccddeeff");
+  o.config.key = key_of("00112233445566778899aabbccddeeff");
   MemberFleet f(o);
   f.start_all();
-  ASSERT_TRUE(f.run_until([&] { return f.agreed(); }, 20s));
+  ASSERT_TRUE(f.run_until([&] { return f.views_are_accurate(); }, 20s));
   for (int i = 0; i < 20; ++i)
     f.inject(
         1, 2,
@@ -429,13 +430,14 @@
             {}));
   f.run_for(1s);
   EXPECT_EQ((*f.view(2)->members)[1].state.status, MemberStatus::alive);
-  EXPECT_GE(f.members(2).stats().drops[static_cast<std::size_t>(Membership::DropReason::tag)], 20U);
+  EXPECT_GE(f.membership(2).stats().drops[static_cast<std::size_t>(Membership::DropReason::tag)],
+            20U);
 }
 TEST(Fleet, SameSeedGivesTheSameDatagrams) {
   const auto play = [](std::uint64_t seed) {
     MemberFleet f({.nodes = 20, .seed = seed});
     std::string heard;
-    f.overhear([&](auto from, auto to, const std::string& bytes) {
+    f.set_datagram_listener([&](auto from, auto to, const std::string& bytes) {
       heard += std::to_string(from) + ">" + std::to_string(to) + ":" + bytes;
     });
     f.start_all();
@@ -464,15 +466,15 @@
         case 1: f.start(n), ++lives[n]; break;
         case 2: f.stall(n, true); break;
         case 3: f.leave(n); break;
-        case 4: f.lose(dice.part() / 2); break;
-        case 5: f.cut([n](auto a, auto b) { return (a < n) != (b < n); }); break;
-        case 6: f.cut([n](auto a, auto b) { return a < n && b >= n; }); break;
-        case 7: f.cut({}); break;
+        case 4: f.set_loss(dice.part() / 2); break;
+        case 5: f.set_link_filter([n](auto a, auto b) { return (a < n) != (b < n); }); break;
+        case 6: f.set_link_filter([n](auto a, auto b) { return a < n && b >= n; }); break;
+        case 7: f.set_link_filter({}); break;
         default: f.stall(n, false);
       }
       if (step % 10 != 0) continue;
       for (std::uint32_t a = 0; a < 16; ++a) {
-        if (!f.up(a)) continue;
+        if (!f.is_up(a)) continue;
         const auto v = f.view(a);
         for (std::uint32_t b = 0; b < 16; ++b) {
           const auto& s = (*v->members)[b].state;
@@ -483,9 +485,9 @@
         }
       }
     }
-    f.cut({}), f.lose(0);
+    f.set_link_filter({}), f.set_loss(0);
     for (std::uint32_t n = 0; n < 16; ++n) f.stall(n, false), f.start(n);
-    EXPECT_TRUE(f.run_until([&] { return f.agreed(); }, 30s)) << seed;
+    EXPECT_TRUE(f.run_until([&] { return f.views_are_accurate(); }, 30s)) << seed;
   }
 }
 
