--- a/lab/answer_form.cpp
+++ b/lab/answer_form.cpp
@@ -17,18 +17,19 @@
 
 }  // namespace
 
-AnswerForm draw_form(const world::WireTerms& terms, world::Dice& dice, bool breaks) {
+AnswerForm draw_form(const world::ResponseDeliveryConfig& terms, world::RandomStreams& dice,
+                     bool breaks) {
   AnswerForm form;
   if (dice.chance(terms.chunked))
     form.framing = AnswerForm::Framing::chunked;
   else if (dice.chance(terms.until_close))
     form.framing = AnswerForm::Framing::until_close;
   form.bytes_behind = form.framing != AnswerForm::Framing::until_close &&
-                      dice.chance(terms.bytes_behind);
+                      dice.chance(terms.trailing_bytes);
   form.breaks = breaks;
   // An orderly end would be the end of an answer that has no other.
   form.by_reset = form.framing == AnswerForm::Framing::until_close || dice.chance(kBreakShare);
-  if (dice.chance(terms.pieces)) form.pieces = 2 + dice.below(kMostPieces);
+  if (dice.chance(terms.fragmented)) form.pieces = 2 + dice.below(kMostPieces);
   return form;
 }
 
--- a/lab/answer_form.hpp
+++ b/lab/answer_form.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "world/dice.hpp"
+#include "world/random_streams.hpp"
 #include "world/scenario.hpp"
 
 namespace petrelrail::lab {
@@ -21,7 +21,8 @@
 };
 
 // The form of one answer, drawn anew for each. `breaks` is the world's decision.
-AnswerForm draw_form(const world::WireTerms& terms, world::Dice& dice, bool breaks);
+AnswerForm draw_form(const world::ResponseDeliveryConfig& terms, world::RandomStreams& dice,
+                     bool breaks);
 
 // The answer as the pieces in which it is written.
 std::vector<std::string> pieces_of(const AnswerForm& form, std::string_view status_line,
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -5,7 +5,7 @@
 
 #include "common/time_math.hpp"
 #include "world/configuration.hpp"
-#include "world/model.hpp"
+#include "world/simulated_runtime.hpp"
 
 namespace petrelrail::lab {
 namespace {
@@ -25,7 +25,7 @@
   return text;
 }
 
-json counts_json(const Figures::Counts& c) {
+json counts_json(const RunStats::Counts& c) {
   json j;
   for (std::size_t i = 0; i < c.n.size(); ++i) j[name_of(static_cast<Count>(i))] = c.n[i];
   j["earned"] = std::round(c.earned * 1e6) / 1e6, j["offered"] = std::round(c.offered * 1e6) / 1e6;
@@ -41,31 +41,31 @@
 // The parts of a record as JSON, for the trace.
 struct Describe {
   json& e;
-  void named(const char* what, TryId id) const {
+  void named(const char* what, ClientAttemptId id) const {
     e["event"] = what, e["id"] = hex(static_cast<std::uint64_t>(id));
   }
-  void operator()(const TrySent& s) const {
+  void operator()(const ClientAttemptSent& s) const {
     named("sent", s.id);
     e["node"] = s.node, e["customer"] = hex(static_cast<std::uint64_t>(s.customer)),
     e["plan"] = s.plan;
     if (s.id != s.root) e["retry_of"] = hex(static_cast<std::uint64_t>(s.root));
   }
-  void operator()(const TryTaken& s) const { named("taken", s.id); }
-  void operator()(const TryAnswered& s) const {
+  void operator()(const ClientAttemptReceived& s) const { named("taken", s.id); }
+  void operator()(const ClientAttemptAnswered& s) const {
     named(s.verdict == Verdict::served    ? "served"
           : s.verdict == Verdict::refused ? "refused"
                                           : "failed",
           s.id);
     if (!s.genuine) e["genuine"] = false;
   }
-  void operator()(const TryBroken& s) const { named("broken", s.id); }
-  void operator()(const TryUnreachable& s) const { named("unreachable", s.id); }
-  void operator()(const TryLeft& s) const { named("left", s.id); }
+  void operator()(const ClientAttemptBroken& s) const { named("broken", s.id); }
+  void operator()(const ClientAttemptUnreachable& s) const { named("unreachable", s.id); }
+  void operator()(const ClientAttemptAbandoned& s) const { named("left", s.id); }
   void operator()(const NodeUp& s) const { e["event"] = "node up", e["node"] = s.node; }
   void operator()(const NodeDown& s) const {
     e["event"] = s.crashed ? "node crashed" : "node down", e["node"] = s.node;
   }
-  void operator()(const ServerTold& s) const {
+  void operator()(const ServerAnnounced& s) const {
     static constexpr const char* phases[] = {"ready", "draining", "gone"};
     e["event"] = "told", e["node"] = s.node, e["server"] = static_cast<std::uint32_t>(s.server);
     e["phase"] = phases[static_cast<std::size_t>(s.phase)];
@@ -74,9 +74,9 @@
     e["event"] = "server started", e["server"] = static_cast<std::uint32_t>(s.server),
     e["zone"] = s.zone;
   }
-  void operator()(const ServerFell& s) const {
+  void operator()(const ServerOverloadedCold& s) const {
     e["event"] = "server fell", e["server"] = static_cast<std::uint32_t>(s.server),
-    e["told_share"] = s.told_share;
+    e["told_share"] = s.informed_share;
   }
   void operator()(const Handshake& s) const {
     e["event"] = s.up ? "handshake" : "no connection", e["node"] = s.node;
@@ -87,31 +87,32 @@
     e["node"] = s.node, e["server"] = static_cast<std::uint32_t>(s.server),
     e["attempt"] = s.attempt;
   }
-  void operator()(const AttemptOver& s) const {
+  void operator()(const AttemptCompleted& s) const {
     named("attempt over", s.id);
     e["attempt"] = s.attempt, e["never_ran"] = s.never_ran;
   }
   void operator()(const CounterCalled& s) const {
     e["event"] = "call", e["node"] = s.node, e["answered"] = s.answered,
-    e["ms"] = seconds(s.after) * 1e3;
+    e["ms"] = seconds(s.response_delay) * 1e3;
   }
-  void operator()(const CounterLost&) const { e["event"] = "counter lost its numbers"; }
+  void operator()(const CounterReset&) const { e["event"] = "counter lost its numbers"; }
   void operator()(const Datagram& s) const {
     e["event"] = "datagram", e["node"] = s.from, e["to"] = s.to, e["bytes"] = s.bytes,
-    e["taken"] = s.taken;
+    e["taken"] = s.received;
   }
-  void operator()(const FaultBegan& s) const { e["event"] = "fault", e["what"] = s.text; }
+  void operator()(const FaultStarted& s) const { e["event"] = "fault", e["what"] = s.text; }
   void operator()(const FaultEnded& s) const { e["event"] = "fault ended", e["what"] = s.text; }
-  void operator()(const Usage& s) const {
+  void operator()(const ResourceUsage& s) const {
     e["event"] = "usage", e["node"] = s.node, e["cpu_s"] = s.cpu_s, e["memory_mb"] = s.memory_mb;
   }
 };
 
 // Few and far between, so that they are written without a trace too.
-bool always_written(const Seen& s) {
+bool always_written(const Observation& s) {
   return std::holds_alternative<NodeUp>(s) || std::holds_alternative<NodeDown>(s) ||
-         std::holds_alternative<ServerStarted>(s) || std::holds_alternative<ServerFell>(s) ||
-         std::holds_alternative<CounterLost>(s) || std::holds_alternative<FaultBegan>(s) ||
+         std::holds_alternative<ServerStarted>(s) ||
+         std::holds_alternative<ServerOverloadedCold>(s) ||
+         std::holds_alternative<CounterReset>(s) || std::holds_alternative<FaultStarted>(s) ||
          std::holds_alternative<FaultEnded>(s);
 }
 
@@ -125,7 +126,7 @@
 Recorder::Recorder(const Options& options, Time begin)
     : options_(options),
       begin_(begin),
-      rules_(rule_terms(options.scenario)),
+      rules_(invariant_config(options.scenario)),
       figures_(options.scenario, begin) {
   if (!options.out) return;
   std::filesystem::create_directories(*options.out);
@@ -137,7 +138,7 @@
 
 void Recorder::began(Time at) {
   begin_ = at;
-  figures_ = Figures(options_.scenario, at);
+  figures_ = RunStats(options_.scenario, at);
 }
 
 void Recorder::event(Time now, json e) {
@@ -147,22 +148,22 @@
   *events_ << line.dump() << '\n';
 }
 
-void Recorder::write(Time now, const Seen& s) {
+void Recorder::write(Time now, const Observation& s) {
   if (!events_ || !(options_.trace || always_written(s))) return;
   json e;
   std::visit(Describe{e}, s);
   event(now, std::move(e));
 }
 
-void Recorder::saw(Time now, const Seen& s) {
+void Recorder::saw(Time now, const Observation& s) {
   write(now, s);
-  rules_.saw(now, s);
-  figures_.saw(now, s, rules_);
-  if (now - passed_at_ > 250ms) rules_.pass(now), passed_at_ = now;
-  for (; breaches_told_ < rules_.breaches().size(); ++breaches_told_) {
-    const auto& b = rules_.breaches()[breaches_told_];
-    figures_.breached(b.at);
-    event(b.at, {{"event", "rule broken"}, {"rule", b.rule}, {"what", b.what}});
+  rules_.observe(now, s);
+  figures_.observe(now, s, rules_);
+  if (now - passed_at_ > 250ms) rules_.check_expired(now), passed_at_ = now;
+  for (; breaches_told_ < rules_.violations().size(); ++breaches_told_) {
+    const auto& b = rules_.violations()[breaches_told_];
+    figures_.record_violation(b.at);
+    event(b.at, {{"event", "rule broken"}, {"rule", b.rule}, {"what", b.description}});
   }
 }
 
@@ -176,14 +177,14 @@
 }
 
 Played Recorder::finish(Time now, const json& of_the_lab, bool stopped) {
-  rules_.pass(stopped ? now : now + 1h);
-  for (; breaches_told_ < rules_.breaches().size(); ++breaches_told_)
-    figures_.breached(rules_.breaches()[breaches_told_].at);
+  rules_.check_expired(stopped ? now : now + 1h);
+  for (; breaches_told_ < rules_.violations().size(); ++breaches_told_)
+    figures_.record_violation(rules_.violations()[breaches_told_].at);
   Played o;
   const double all = options_.scenario.fleet.seconds;
-  for (const auto& b : rules_.breaches())
+  for (const auto& b : rules_.violations())
     o.breaches.push_back("rule broken at " + number(seconds(b.at - begin_)) + " s: " + b.rule +
-                         ": " + b.what);
+                         ": " + b.description);
   json expectations = json::array();
   for (const auto& e : options_.scenario.expectations) {
     const double to = e.to.value_or(all);
@@ -202,12 +203,12 @@
   j["carrier"] = options_.processes ? "processes" : "model";
   j["nodes"] = options_.scenario.fleet.nodes, j["servers"] = options_.scenario.servers.count;
   j["seed"] = options_.seed, j["seconds"] = all;
-  for (const auto& name : Figures::names())
+  for (const auto& name : RunStats::names())
     j["figures"][name] = figures_.value(name, 0, all).value_or(0);
   j["rules"] = o.breaches, j["expectations"] = expectations, j["lab"] = of_the_lab;
   j["by_second"] = json::array(), j["by_node"] = json::array(), j["by_zone"] = json::array();
-  for (std::size_t i = 0; i + 1 < figures_.seconds_of().size(); ++i) {
-    auto second = counts_json(figures_.seconds_of()[i]);
+  for (std::size_t i = 0; i + 1 < figures_.by_second().size(); ++i) {
+    auto second = counts_json(figures_.by_second()[i]);
     second["p50_ms"] = figures_.latency_ms(0.5, static_cast<double>(i), static_cast<double>(i + 1));
     second["p99_ms"] = figures_.latency_ms(0.99, static_cast<double>(i),
                                            static_cast<double>(i + 1));
@@ -217,7 +218,7 @@
   for (const auto& z : figures_.zones()) j["by_zone"].push_back(counts_json(z));
   j["faults"] = json::array();
   for (const auto& f : options_.scenario.faults)
-    j["faults"].push_back({{"at", f.at}, {"for", f.lasts}, {"what", text_of(f)}});
+    j["faults"].push_back({{"at", f.at}, {"for", f.duration_s}, {"what", text_of(f)}});
   if (options_.out) {
     std::ofstream file(*options_.out / "figures.json");
     file << j.dump(1) << '\n';
@@ -231,7 +232,7 @@
   return options.processes ? play_processes(options) : play_model(options);
 }
 
-std::vector<FaultEffect> fault_effects_of(const World& world) {
+std::vector<FaultEffect> fault_effects_of(const Simulation& world) {
   std::vector<FaultEffect> effects;
   const auto& faults = world.scenario().faults;
   effects.reserve(faults.size());
@@ -241,20 +242,20 @@
 }
 
 Played play_model(const Options& options) {
-  Agenda agenda(kModelBegins);
+  EventQueue agenda(kModelBegins);
   Recorder recorder(options, kModelBegins);
-  Model model(options.scenario, options.seed, agenda,
-              [&](Time now, std::uint32_t node, const std::string& text) {
-                recorder.log(now, node, text);
-              });
-  World world(options.scenario, options.seed, agenda, model,
-              [&](Time now, const Seen& s) { recorder.saw(now, s); });
+  SimulatedRuntime model(options.scenario, options.seed, agenda,
+                         [&](Time now, std::uint32_t node, const std::string& text) {
+                           recorder.log(now, node, text);
+                         });
+  Simulation world(options.scenario, options.seed, agenda, model,
+                   [&](Time now, const Observation& s) { recorder.saw(now, s); });
   model.serve(world);
   world.begin(30s);
   Time shown{};
   bool began = false, stopped = false;
-  while (agenda.next() && !stopped) {
-    agenda.run_until(std::max(*agenda.next(), agenda.now() + kStep));
+  while (agenda.next_time() && !stopped) {
+    agenda.run_until(std::max(*agenda.next_time(), agenda.now() + kStep));
     if (!began && world.clients_began()) began = true, recorder.began(world.began_at());
     if (agenda.now() - shown >= kProgress) {
       shown = agenda.now();
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "world/figures.hpp"
 #include "world/rules.hpp"
-#include "world/world.hpp"
+#include "world/run_stats.hpp"
+#include "world/simulation.hpp"
 
 namespace petrelrail::lab {
 
@@ -29,8 +29,8 @@
   std::function<bool()> stopped = [] {
     return false;
   };  // asked now and then: end, and write what there is
-  std::function<void(double seconds, const world::Figures&)> progress =
-      [](double, const world::Figures&) {};
+  std::function<void(double seconds, const world::RunStats&)> progress =
+      [](double, const world::RunStats&) {};
 };
 
 struct FaultEffect {
@@ -56,30 +56,30 @@
 class Recorder {
  public:
   Recorder(const Options& options, Time begin);
-  void saw(Time now, const world::Seen& s);
+  void saw(Time now, const world::Observation& s);
   void began(Time at);  // the clients
   void log(Time now, std::uint32_t node, const std::string& text);
-  const world::Figures& figures() const { return figures_; }
-  void views(double agreed) { figures_.views(agreed); }
+  const world::RunStats& figures() const { return figures_; }
+  void views(double agreed) { figures_.set_views_agreed(agreed); }
   // `stopped`: before the end, by the caller or a crash, so that requests whose time is not over
   // are not judged.
   Played finish(Time now, const nlohmann::json& of_the_lab, bool stopped);
 
  private:
-  void write(Time now, const world::Seen& s);
+  void write(Time now, const world::Observation& s);
   void event(Time now, nlohmann::json e);
 
   const Options& options_;
   Time begin_;
-  world::Rules rules_;
-  world::Figures figures_;
+  world::InvariantChecker rules_;
+  world::RunStats figures_;
   std::size_t breaches_told_ = 0;
   Time passed_at_{};
   std::optional<std::ofstream> events_;
   std::vector<std::unique_ptr<std::ofstream>> logs_;
 };
 
-std::vector<FaultEffect> fault_effects_of(const world::World& world);
+std::vector<FaultEffect> fault_effects_of(const world::Simulation& world);
 
 // Throws std::runtime_error where the play can't begin.
 Played play(const Options& options);
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -76,7 +76,7 @@
   o.most_lag_ms = a.most_lag_ms;
   o.stopped = [] { return interrupted != 0; };
   if (!a.quiet && isatty(STDERR_FILENO) != 0)
-    o.progress = [all = o.scenario.fleet.seconds](double at, const world::Figures& f) {
+    o.progress = [all = o.scenario.fleet.seconds](double at, const world::RunStats& f) {
       const auto c = f.total();
       std::fprintf(stderr,
                    "\r%5.1f of %.0f s  asked %llu  served %llu  refused %llu  failed %llu  rules "
@@ -202,7 +202,7 @@
 }
 
 int compare_sides(const RunArguments& a, const CompareArguments& c) {
-  const auto known = world::Figures::names();
+  const auto known = world::RunStats::names();
   for (const auto& f : c.figures)
     if (std::ranges::find(known, f) == known.end())
       throw ScenarioError("--figure " + f + ": there is no such figure");
--- a/lab/processes.cpp
+++ b/lab/processes.cpp
@@ -48,11 +48,11 @@
 }
 // The same for every attempt; of a share of the requests longer than a node holds back before it
 // passes on.
-std::string body_for(TryId id, const WireTerms& wire) {
+std::string body_for(ClientAttemptId id, const ResponseDeliveryConfig& wire) {
   constexpr std::size_t kLongest = 60 * 1024;
   const auto line = "price for " + hex(static_cast<std::uint64_t>(id)) + "\n";
-  auto dice = Dice(static_cast<std::uint64_t>(id)).stream("length");
-  if (!dice.chance(wire.long_answers)) return line;
+  auto dice = RandomStreams(static_cast<std::uint64_t>(id)).stream("length");
+  if (!dice.chance(wire.long_responses)) return line;
   std::string body;
   for (const auto size = line.size() + dice.below(kLongest); body.size() < size;) body += line;
   return body;
@@ -67,7 +67,7 @@
  public:
   FrontLink(Processes& lab, std::uint32_t node) : lab_(lab), node_(node), socket_(lab.io_) {}
 
-  void begin(const Try& t) {
+  void begin(const ClientAttempt& t) {
     carry(t);
     socket_.async_connect(lab_.nodes_[node_].listen,
                           [self = shared_from_this()](const error_code& failed) {
@@ -78,7 +78,7 @@
                             self->write();
                           });
   }
-  void go_on(const Try& t) {
+  void go_on(const ClientAttempt& t) {
     carry(t);
     write();
   }
@@ -93,7 +93,7 @@
   }
 
  private:
-  void carry(const Try& t) {
+  void carry(const ClientAttempt& t) {
     try_ = t;
     lab_.out_[t.id] = shared_from_this();
     const auto& s = lab_.options_.scenario;
@@ -182,7 +182,7 @@
   Processes& lab_;
   std::uint32_t node_;
   Tcp::socket socket_;
-  std::optional<Try> try_;
+  std::optional<ClientAttempt> try_;
   std::string text_;
   beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
@@ -226,7 +226,7 @@
                                   : a == ServerAnswer::full
                                       ? "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\n"
                                       : "HTTP/1.1 200 OK\r\n";
-    auto dice = Dice(lab_.options_.seed).stream("form", ++lab_.answers_);
+    auto dice = RandomStreams(lab_.options_.seed).stream("form", ++lab_.answers_);
     form_ = good ? draw_form(wire, dice, a == ServerAnswer::spoilt) : AnswerForm{};
     if (form_.breaks) lab_.spoilt_.insert(id);
     const auto pieces = pieces_of(form_, head, body);
@@ -282,7 +282,7 @@
     const auto& m = parser_->get();
     const auto it = m.find("X-Request-ID");
     if (busy_ || it == m.end()) return end(true);  // one at a time; one with no id is none of ours
-    id_ = TryId(from_hex(it->value()));
+    id_ = ClientAttemptId(from_hex(it->value()));
     lab_.sent_on_.insert(id_);
     busy_ = true;
     const auto late = 2 * lab_.world_->way(node_, server_) + std::exchange(fresh_, Duration{});
@@ -304,7 +304,7 @@
   std::deque<std::string> pieces_;  // of its answer that are not written yet
   Time first_byte_{};
   Duration fresh_{};
-  TryId id_{};
+  ClientAttemptId id_{};
   AttemptNumber attempt_ = AttemptNumber::none;
   bool busy_ = false, gone_ = false;
 };
@@ -367,21 +367,21 @@
   void came(const std::string& line) {
     if (lab_.world_->counter_would_connect(node_) != Connect::up) {
       swallowed_ = true;
-      if (const auto call = world::Counter::read(line))
+      if (const auto call = world::Counter::parse(line))
         lab_.world_->call(node_, *call, [](const auto&) {});
       return;
     }
     slots_.push_back(std::make_shared<Slot>());
     const auto slot = slots_.back();
     if (line == "ping") return tell(slot, "pong", false);
-    const auto call = world::Counter::read(line);
+    const auto call = world::Counter::parse(line);
     if (!call) return tell(slot, "error", false);
     lab_.world_->call(node_, *call,
                       [self = shared_from_this(), slot](const world::Counter::Answer& a) {
                         if (a.kind == world::Counter::Answer::Kind::refused)
                           return self->close(true);
-                        self->tell(slot, world::Counter::written(a),
-                                   a.kind == world::Counter::Answer::Kind::spoilt);
+                        self->tell(slot, world::Counter::format(a),
+                                   a.kind == world::Counter::Answer::Kind::malformed);
                       });
   }
   // In the order of the calls.
@@ -493,7 +493,7 @@
 
 // ---- Addresses and processes --------------------------------------------------------------------
 
-Processes::Processes(const Options& options, asio::io_context& io, Agenda& agenda,
+Processes::Processes(const Options& options, asio::io_context& io, EventQueue& agenda,
                      std::filesystem::path folder)
     : options_(options),
       io_(io),
@@ -534,7 +534,7 @@
                                    std::to_string(1 + node % 200));
 }
 
-void Processes::serve(World& world) {
+void Processes::serve(Simulation& world) {
   world_ = &world;
   for (std::uint32_t i = 0; i < nodes_.size(); ++i) {
     auto& n = nodes_[i];
@@ -899,13 +899,13 @@
 
 // ---- What the world has for the nodes -----------------------------------------------------------
 
-void Processes::submit(const Try& t) {
+void Processes::submit(const ClientAttempt& t) {
   agenda_.after(world_->client_way(), [this, id = t.id] {
     if (const auto* sent = world_->find_waiting(id)) pass_on(*sent);
   });
 }
 
-void Processes::pass_on(const Try& t) {
+void Processes::pass_on(const ClientAttempt& t) {
   auto& n = nodes_[t.node];
   if (!n.idle.empty()) {
     const auto link = n.idle.back();
@@ -913,15 +913,17 @@
     return link->go_on(t);
   }
   // A node that ends gets no new connections.
-  if (n.ending && options_.scenario.clients.keeps_open) return world_->unreachable(t.id);
+  if (n.ending && options_.scenario.clients.reuses_draining_connections)
+    return world_->unreachable(t.id);
   if (n.front.size() >= options_.scenario.fleet.sockets / 3) return n.waiting.push_back(t);
   const auto link = std::make_shared<FrontLink>(*this, t.node);
   n.front.insert(link);
   link->begin(t);
 }
 
-void Processes::leave(TryId id) {
-  for (auto& n : nodes_) std::erase_if(n.waiting, [id](const Try& t) { return t.id == id; });
+void Processes::leave(ClientAttemptId id) {
+  for (auto& n : nodes_)
+    std::erase_if(n.waiting, [id](const ClientAttempt& t) { return t.id == id; });
   if (const auto it = out_.find(id); it != out_.end()) {
     const auto link = it->second;
     link->close();
@@ -991,15 +993,15 @@
   const auto steady = std::chrono::steady_clock::now();
   const Time unix(std::chrono::system_clock::now().time_since_epoch());
   const auto now = [&] { return unix + (std::chrono::steady_clock::now() - steady); };
-  Agenda agenda(now());
-  agenda.follow(now);
+  EventQueue agenda(now());
+  agenda.set_clock(now);
   Recorder recorder(options, agenda.now());
   Processes carrier(options, io, agenda, folder.path);
-  World world(options.scenario, options.seed, agenda, carrier,
-              [&](Time at, const Seen& s) { recorder.saw(at, s); });
+  Simulation world(options.scenario, options.seed, agenda, carrier,
+                   [&](Time at, const Observation& s) { recorder.saw(at, s); });
   carrier.serve(world);
   carrier.started([&](std::uint32_t node, Child::Usage u) {
-    recorder.saw(agenda.now(), Usage{node, u.cpu_s, u.memory_mb});
+    recorder.saw(agenda.now(), ResourceUsage{node, u.cpu_s, u.memory_mb});
   });
   world.begin(kStart);
   std::vector<double> lags;
@@ -1011,7 +1013,7 @@
   std::uint64_t armed = 0;
   while (!stopped && carrier.crash().empty()) {
     const Time at = now();
-    if (const auto next = agenda.next(); next && *next <= at && began)
+    if (const auto next = agenda.next_time(); next && *next <= at && began)
       lags.push_back(seconds(at - *next) * 1e3);
     agenda.run_until(at);
     if (!began && world.clients_began()) began = true, recorder.began(world.began_at());
@@ -1034,7 +1036,7 @@
       if (at - *ended > kViews) break;
       if (at - asked >= kAskViews) asked = at, carrier.ask_views();
     }
-    const Time until = std::min(agenda.next().value_or(at + kLook), looked + kLook);
+    const Time until = std::min(agenda.next_time().value_or(at + kLook), looked + kLook);
     if (until > now()) {
       timer.expires_after(until - now());
       timer.async_wait([&io, mine = ++armed, &armed](const error_code& failed) {
@@ -1043,7 +1045,7 @@
       io.restart();
       while (!io.stopped() && now() < until) {
         if (io.run_one() == 0) break;
-        if (agenda.next() && *agenda.next() <= now()) break;
+        if (agenda.next_time() && *agenda.next_time() <= now()) break;
       }
     } else {
       io.restart();
--- a/lab/processes.hpp
+++ b/lab/processes.hpp
@@ -20,13 +20,13 @@
 
 namespace petrelrail::lab {
 
-class Processes final : public world::Carrier {
+class Processes final : public world::Runtime {
  public:
-  Processes(const Options& options, asio::io_context& io, world::Agenda& agenda,
+  Processes(const Options& options, asio::io_context& io, world::EventQueue& agenda,
             std::filesystem::path folder);
   ~Processes() override;
   // Opens all addresses. Throws where that can't be.
-  void serve(world::World& world);
+  void serve(world::Simulation& world);
   // Looks after processes that have ended, and what they use; to be called now and then.
   void look(bool measure);
   const std::string& crash() const { return crash_; }
@@ -44,8 +44,8 @@
   void reload_node(std::uint32_t node, const world::Fault& fault) override;
   void upgrade_node(std::uint32_t node) override;
   bool has_idle_connection(std::uint32_t node) const override;
-  void submit(const world::Try& t) override;
-  void leave(world::TryId id) override;
+  void submit(const world::ClientAttempt& t) override;
+  void leave(world::ClientAttemptId id) override;
   void answer(world::AttemptNumber attempt, world::ServerAnswer answer) override;
   void server_added(std::uint32_t server) override;
   void reset_connections(std::uint32_t server) override;
@@ -77,7 +77,7 @@
     std::set<std::shared_ptr<ServerLink>> server_links;
     std::set<std::shared_ptr<CounterLink>> counter_links;
     std::set<std::shared_ptr<AgentLink>> agents;
-    std::deque<world::Try> waiting;  // for a connection of the front
+    std::deque<world::ClientAttempt> waiting;  // for a connection of the front
   };
 
   asio::ip::address address(std::uint32_t node) const;
@@ -90,7 +90,7 @@
   void open_agent(std::uint32_t node);
   void open_counter(std::uint32_t node);
   void hear_peer(std::uint32_t node);
-  void pass_on(const world::Try& t);
+  void pass_on(const world::ClientAttempt& t);
   void ended(std::uint32_t node, const Child& child, int status);
   std::string entry_json(std::uint32_t node, const world::Entry& e) const;
   std::string list_json(std::uint32_t node, std::span<const world::Entry> entries,
@@ -98,19 +98,19 @@
 
   const Options& options_;
   asio::io_context& io_;
-  world::Agenda& agenda_;
+  world::EventQueue& agenda_;
   std::filesystem::path folder_;
-  world::World* world_ = nullptr;
+  world::Simulation* world_ = nullptr;
   unsigned base_ = 0;  // second octet of this lab's addresses
   std::vector<Node> nodes_;
   std::unordered_map<world::AttemptNumber, std::weak_ptr<ServerLink>> attempts_;
-  std::unordered_map<world::TryId, std::shared_ptr<FrontLink>> out_;  // requests at nodes
+  std::unordered_map<world::ClientAttemptId, std::shared_ptr<FrontLink>> out_;  // requests at nodes
   std::map<std::uint32_t, std::array<char, 2048>> datagrams_;
   std::map<std::uint32_t, asio::ip::udp::endpoint> senders_;
   std::map<std::uint32_t, nlohmann::json> views_;
-  std::set<world::TryId> spoilt_;   // answers to these broke on their way
-  std::set<world::TryId> sent_on_;  // these came to a price server
-  std::uint64_t answers_ = 0;       // of price servers
+  std::set<world::ClientAttemptId> spoilt_;   // answers to these broke on their way
+  std::set<world::ClientAttemptId> sent_on_;  // these came to a price server
+  std::uint64_t answers_ = 0;                 // of price servers
   std::string crash_;
   std::uint64_t seeds_ = 0;
   std::function<void(std::uint32_t, Child::Usage)> used_ = [](std::uint32_t, Child::Usage) {};
--- a/lab/scenario_file.cpp
+++ b/lab/scenario_file.cpp
@@ -11,7 +11,7 @@
 #include <set>
 #include <sstream>
 
-#include "world/figures.hpp"
+#include "world/run_stats.hpp"
 
 namespace petrelrail::lab {
 namespace {
@@ -50,13 +50,13 @@
       if (pair->size() != 2 || !pair->get(0)->is_number() || !pair->get(1)->is_number())
         wrong(key, "a number or [least, most] is wanted");
       value = {*pair->get(0)->value<double>(), *pair->get(1)->value<double>()};
-      if (value.least > value.most) wrong(key, "the first is above the second");
+      if (value.min > value.max) wrong(key, "the first is above the second");
     } else if (node->is_number()) {
-      value.least = value.most = *node->value<double>();
+      value.min = value.max = *node->value<double>();
     } else {
       wrong(key, "a number or [least, most] is wanted");
     }
-    bounded(key, value.least, least, most), bounded(key, value.most, least, most);
+    bounded(key, value.min, least, most), bounded(key, value.max, least, most);
   }
   void text(const char* key, std::string& value, std::initializer_list<std::string> among = {}) {
     const auto* node = take(key);
@@ -132,7 +132,7 @@
   std::set<std::string> used_;
 };
 
-void read(Reader r, FleetTerms& t) {
+void read(Reader r, FleetConfig& t) {
   r.number("nodes", t.nodes, 1, 2000);
   if (r.has("zones")) t.zones = r.texts("zones");
   if (t.zones.empty()) r.wrong("zones", "at least one is wanted");
@@ -147,14 +147,14 @@
   r.finish();
 }
 
-void read(Reader r, NetworkTerms& t) {
+void read(Reader r, NetworkConfig& t) {
   r.range("same_zone_ms", t.same_zone_ms, 0, 1000);
   r.range("cross_zone_ms", t.cross_zone_ms, 0, 1000);
   r.range("client_ms", t.client_ms, 0, 1000);
   r.finish();
 }
 
-void read(Reader r, ServerTerms& t) {
+void read(Reader r, ServerConfig& t) {
   r.number("count", t.count, 1, 5000);
   r.number("cores", t.cores, 0.1, 256);
   r.range("speed", t.speed, 0.01, 100);
@@ -183,7 +183,7 @@
   r.finish();
 }
 
-void read(Reader r, CounterTerms& t) {
+void read(Reader r, CounterConfig& t) {
   r.number("calls_per_s", t.calls_per_s, 1, 1e6);
   r.number("parts", t.parts, 1, 64);
   r.number("call_ms", t.call_ms, 0, 1000);
@@ -194,7 +194,7 @@
   r.finish();
 }
 
-void read(Reader r, DiscoveryTerms& t) {
+void read(Reader r, DiscoveryConfig& t) {
   r.range("notice_s", t.notice_s, 0, 600);
   r.range("add_s", t.add_s, 0, 600);
   r.range("silent_notice_s", t.silent_notice_s, 0, 600);
@@ -203,7 +203,7 @@
   r.finish();
 }
 
-void read(Reader r, PeerTerms& t) {
+void read(Reader r, PeerConfig& t) {
   r.range("delay_ms", t.delay_ms, 0, 10000);
   r.number("loss", t.loss, 0, 1);
   r.number("duplicate", t.duplicate, 0, 1);
@@ -213,7 +213,7 @@
   r.finish();
 }
 
-void read(Reader r, PriceTerms& t) {
+void read(Reader r, CostConfig& t) {
   for (const auto& [key, value] : {std::pair("cross_zone", &t.cross_zone),
                                    {"handshake", &t.handshake},
                                    {"waste", &t.waste},
@@ -223,8 +223,8 @@
   r.finish();
 }
 
-PlanTerms read_plan(Reader r, std::size_t number) {
-  PlanTerms t;
+PlanConfig read_plan(Reader r, std::size_t number) {
+  PlanConfig t;
   t.name = "plan" + std::to_string(number);
   r.text("name", t.name);
   r.number("share", t.share, 0.001, 1000);
@@ -243,7 +243,7 @@
 }
 
 // The plans of the site's pages, with the middle of each range.
-std::vector<PlanTerms> usual_plans() {
+std::vector<PlanConfig> usual_plans() {
   return {{.name = "basic",
            .share = 0.31,
            .rate = 0.8,
@@ -261,7 +261,7 @@
            .ceiling = 2}};
 }
 
-void read(Reader r, ClientTerms& t) {
+void read(Reader r, ClientConfig& t) {
   r.number("load", t.load, 0.001, 20);
   r.range("calm_use", t.calm_use, 0.001, 10);
   r.number("full", t.full, 0, 1);
@@ -394,7 +394,7 @@
     if (r.has(key) && !terms.figures.contains(key)) r.wrong(key, "the fault " + kind + " has none");
   if (r.has("for") && !terms.lasts && !terms.figures.contains("for"))
     r.wrong("for", "the fault " + kind + " has none");
-  r.number("for", f.lasts, 0.001, 36000);
+  r.number("for", f.duration_s, 0.001, 36000);
   r.number("factor", f.factor, 0.01, 1000);
   r.number("share", f.share, 0, 1);
   r.number("delay", f.delay, 0, 600);
@@ -426,7 +426,7 @@
 Expectation read_expectation(Reader r, const Scenario& s) {
   Expectation e;
   r.text("figure", e.figure);
-  const auto names = Figures::names();
+  const auto names = RunStats::names();
   if (std::ranges::find(names, e.figure) == names.end())
     r.wrong("figure", "there is no figure \"" + e.figure + "\"");
   double bound = 0;
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -40,11 +40,11 @@
          kind == FaultKind::servers_gone || kind == FaultKind::servers_replaced;
 }
 
-Fault draw_fault(Dice& dice, double seconds) {
+Fault draw_fault(RandomStreams& dice, double seconds) {
   Fault f;
   f.kind = kFaults[dice.below(kFaults.size())];
   f.at = dice.between(kFirstFault, seconds * 3 / 4);
-  f.lasts = f.kind == FaultKind::stall ? dice.between(0, kLongestStall) : dice.in(kLasts);
+  f.duration_s = f.kind == FaultKind::stall ? dice.between(0, kLongestStall) : dice.in(kLasts);
   f.share = dice.in(kShare), f.factor = dice.in(kFactor), f.delay = 1;
   if (is_about_nodes(f.kind)) f.who = {share_of(Selector::Kind::nodes, f.share)};
   if (is_about_servers(f.kind)) f.who = {share_of(Selector::Kind::servers, f.share)};
@@ -66,16 +66,16 @@
   faults.insert(faults.end(), replacements.begin(), replacements.end());
 }
 
-WireTerms draw_wire(Dice& dice) {
-  WireTerms w;
-  w.long_answers = dice.between(0, 0.5), w.chunked = dice.between(0, 0.5),
+ResponseDeliveryConfig draw_wire(RandomStreams& dice) {
+  ResponseDeliveryConfig w;
+  w.long_responses = dice.between(0, 0.5), w.chunked = dice.between(0, 0.5),
   w.until_close = dice.between(0, 0.2);
-  w.bytes_behind = dice.between(0, 0.1), w.pieces = dice.between(0, 0.5);
+  w.trailing_bytes = dice.between(0, 0.1), w.fragmented = dice.between(0, 0.5);
   return w;
 }
 
-SystemTerms draw_system(Dice& dice) {
-  SystemTerms s;
+SystemFaultConfig draw_system(RandomStreams& dice) {
+  SystemFaultConfig s;
   s.accept = dice.between(0, 0.05), s.connect = dice.between(0, 0.02),
   s.socket = dice.between(0, 0.01);
   s.poll = dice.between(0, 0.1), s.read = dice.between(0, 0.2), s.write = dice.between(0, 0.2);
@@ -83,21 +83,21 @@
   return s;
 }
 
-void extend(Scenario& scenario, Dice dice) {
+void extend(Scenario& scenario, RandomStreams dice) {
   auto& clients = scenario.clients;
   // No customer is at home under the last three: they are turned to.
-  PlanTerms slots_only, both, capped;
+  PlanConfig slots_only, both, capped;
   slots_only.name = "slots", slots_only.share = 0, slots_only.rate = 0, slots_only.open = 1;
   both.name = "both", both.share = 0, both.rate = 4, both.open = 2;
   capped.name = "capped", capped.share = 0, capped.rate = 6, capped.ceiling = 1.5;
   clients.plans.insert(clients.plans.end(), {slots_only, both, capped});
-  clients.turn_share = dice.in(kTurnShare);
-  clients.keeps_open = true;
+  clients.plan_switch_share = dice.in(kTurnShare);
+  clients.reuses_draining_connections = true;
   scenario.fleet.signal_series = dice.chance(0.5);
   Fault restart;
   restart.kind = FaultKind::restart;
   restart.at = dice.between(kFirstFault, scenario.fleet.seconds / 2);
-  restart.lasts = dice.in(kLasts);
+  restart.duration_s = dice.in(kLasts);
   restart.who = {share_of(Selector::Kind::nodes, dice.in(kShare))};
   scenario.faults.push_back(restart);
   add_news_for_late_lists(scenario.faults);
@@ -106,15 +106,15 @@
 }  // namespace
 
 Scenario soak_scenario(const SoakTerms& terms) {
-  Dice dice = Dice(terms.seed).stream("soak");
+  RandomStreams dice = RandomStreams(terms.seed).stream("soak");
   Scenario s;
   s.name = "soak-" + std::to_string(terms.seed);
   s.fleet.nodes = terms.nodes, s.fleet.seconds = terms.seconds;
   s.clients.effect = kEffects[dice.below(kEffects.size())];
   s.clients.deadline_ms = dice.between(1500, 6000), s.clients.aim_ms = s.clients.deadline_ms / 2;
   s.fleet.term_s = std::min(s.clients.deadline_ms / 1e3, 3.0) + 0.7;
-  s.clients.leave_share = dice.between(0, 0.1);
-  PlanTerms basic, extended;
+  s.clients.early_disconnect_share = dice.between(0, 0.1);
+  PlanConfig basic, extended;
   basic.name = "basic", basic.share = 0.6;
   extended.name = "extended", extended.share = 0.4, extended.rate = 8;
   s.clients.plans = {basic, extended};
--- a/lab/wire.hpp
+++ b/lab/wire.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-#include "world/world.hpp"
+#include "world/simulation.hpp"
 
 namespace petrelrail::lab {
 
--- a/src/world/configuration.cpp
+++ b/src/world/configuration.cpp
@@ -7,10 +7,10 @@
 namespace petrelrail::world {
 namespace {
 
-constexpr std::uint32_t kAttempts = 3;  // the site's, as its page gives it
-constexpr double kCeilingSlack = 0.1;   // of the ceiling's store
-constexpr double kLeastBurst = 2;       // of the largest request; twice as much under a ceiling
-constexpr double kMemorySpan = 5;       // seconds
+constexpr std::uint32_t kMaxAttempts = 3;
+constexpr double kCeilingSlack = 0.1;  // share of the ceiling's burst
+constexpr double kMinBurst = 2;  // in units of the largest request; twice as much under a ceiling
+constexpr double kDeduplicationWindowS = 5;  // seconds
 
 std::int64_t nanoseconds(double s) { return from_seconds(s).count(); }
 
@@ -22,7 +22,7 @@
     Plan p;
     p.name = t.name, p.rate = t.rate, p.price = t.price, p.over_quota_weight = t.over_worth,
     p.over_quota_cost = t.over_cost;
-    p.burst = std::max(t.rate * t.burst_s, t.ceiling > 0 ? 2 * kLeastBurst : kLeastBurst);
+    p.burst = std::max(t.rate * t.burst_s, t.ceiling > 0 ? 2 * kMinBurst : kMinBurst);
     if (t.ceiling > 0) {
       p.ceiling_rate = t.ceiling * p.rate, p.ceiling_burst = t.ceiling * p.burst;
       p.ceiling_slack = std::max(kCeilingSlack * p.ceiling_burst, 1.0);
@@ -46,7 +46,7 @@
                    {"connect-timeout-ns", nanoseconds(s.servers.connect_timeout_ms / 1e3)},
                    {"cpu-us-per-request", 0.0},
                    {"keepalive-ns", nanoseconds(s.servers.idle_s)},
-                   {"max-attempts", max_attempts > 0 ? max_attempts : kAttempts},
+                   {"max-attempts", max_attempts > 0 ? max_attempts : kMaxAttempts},
                    {"max-open", 20000},
                    {"max-retry-after-ns", nanoseconds(s.clients.most_retry_after_ms / 1e3)},
                    {"peer-messages", true},
@@ -66,7 +66,7 @@
                                         {"hard-limit-ns", nanoseconds(s.clients.deadline_ms / 1e3)},
                                         {"idempotency", s.clients.effect},
                                         {"late-worth", 0.0},
-                                        {"memory-span-ns", nanoseconds(kMemorySpan)},
+                                        {"memory-span-ns", nanoseconds(kDeduplicationWindowS)},
                                         {"name", "price-lookup"},
                                         {"on-time-ns", nanoseconds(s.clients.aim_ms / 1e3)},
                                         {"streamed", false}}});
@@ -91,21 +91,21 @@
                  {"fall-multiple", s.servers.fall_multiple},
                  {"fall-ns", nanoseconds(s.servers.fall_s)},
                  {"must-ask-in-ns", nanoseconds(10)},
-                 {"start-capacity", s.servers.cold_from.least},
-                 {"warm-within-ns", nanoseconds(s.servers.cold_s.most)}};
+                 {"start-capacity", s.servers.cold_from.min},
+                 {"warm-within-ns", nanoseconds(s.servers.cold_s.max)}};
   return f;
 }
 
-RuleTerms rule_terms(const Scenario& s) {
-  RuleTerms t;
+InvariantConfig invariant_config(const Scenario& s) {
+  InvariantConfig t;
   t.lost_after = from_seconds(s.clients.patience_ms / 1e3);
   t.drain_grace = from_seconds(s.servers.drain_grace_s + 0.05);
-  t.max_attempts = kAttempts;
-  t.effect = s.clients.effect == "safe"    ? Idempotency::idempotent
-             : s.clients.effect == "keyed" ? Idempotency::idempotency_key
-                                           : Idempotency::non_idempotent;
-  t.memory_span = from_seconds(kMemorySpan);
-  t.most_bytes = s.peers.most_bytes;
+  t.max_attempts = kMaxAttempts;
+  t.idempotency = s.clients.effect == "safe"    ? Idempotency::idempotent
+                  : s.clients.effect == "keyed" ? Idempotency::idempotency_key
+                                                : Idempotency::non_idempotent;
+  t.deduplication_window = from_seconds(kDeduplicationWindowS);
+  t.max_datagram_bytes = s.peers.most_bytes;
   t.plans = plans_of(s);
   for (const auto& f : s.faults) t.max_attempts = std::max(t.max_attempts, f.max_attempts);
   return t;
--- a/src/world/configuration.hpp
+++ b/src/world/configuration.hpp
@@ -1,5 +1,5 @@
-// What an edge node of an experiment is told, in the forms of DEPLOY and WIRE, and what follows
-// from a scenario's terms.
+// Derives from a scenario the configuration of its edge nodes, in the formats of DEPLOY and WIRE,
+// and that of the invariant checker.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,10 +10,11 @@
 
 namespace petrelrail::world {
 
+// The plans with burst, ceiling and concurrency limit computed from their rate.
 std::vector<Plan> plans_of(const Scenario& s);
-// `settings` of a node's configuration file: WIRE, "What an instance is born with". A
-// `max_attempts` of 0 means the usual number.
+// Returns the `settings` of a node's configuration file (WIRE, "What an instance is born with"). A
+// `max_attempts` of 0 selects the default.
 nlohmann::json settings_of(const Scenario& s, std::uint32_t node, std::uint32_t max_attempts = 0);
-RuleTerms rule_terms(const Scenario& s);
+InvariantConfig invariant_config(const Scenario& s);
 
 }  // namespace petrelrail::world
--- a/src/world/counter.hpp
+++ b/src/world/counter.hpp
@@ -1,5 +1,5 @@
-// The quota counter as PROTOCOL, "The counter", tells it: numbers under names, added to in turn.
-// Time is passed in and must not go backwards.
+// Simulates the quota counter of PROTOCOL, "The counter": named totals, to which calls add in order
+// of arrival. The caller passes in the time, which must not decrease.
 #pragma once
 
 #include <optional>
@@ -17,61 +17,62 @@
   struct Call {
     std::string name;     // 1 to 64 bytes, no spaces
     double amount = 0;    // at most 1e9 either way
-    Duration lifetime{};  // of a new name; 1 ms to 60 s
+    Duration lifetime{};  // of a new total; 1 ms to 60 s
   };
   enum class Mode {
-    closed,
+    closed,  // before the run starts: every call is answered `busy`
     serving,
     silent,
     refusing
-  };  // closed: before the run begins, all is turned away
+  };
   struct Answer {
     enum class Kind {
       ok,
       busy,
-      spoilt,
-      none,
-      refused
-    } kind{};          // none: nothing comes; refused: no connection
-    double total = 0;  // to seven digits; valid with ok
+      malformed,  // without a total
+      none,       // no answer is sent
+      refused     // the connection is refused
+    } kind{};
+    double total = 0;  // rounded to seven digits; valid with ok
     Time at{};         // when the answer leaves the counter
   };
 
-  Counter(const CounterTerms& terms, Dice dice);
+  Counter(const CounterConfig& config, RandomStreams random);
 
-  // The call in a line without its CRLF, or none where the counter answers `error`.
-  static std::optional<Call> read(std::string_view line);
-  // As it stands in an answer: `ok 12.5`.
-  static std::string written(const Answer& a);
-  static double seven_digits(double total);
+  // Parses a line without its CRLF; none if the counter answers it with `error`.
+  static std::optional<Call> parse(std::string_view line);
+  // The answer as sent, without CRLF, such as `ok 12.5`.
+  static std::string format(const Answer& a);
+  static double round_to_seven_digits(double total);
 
-  // A call that has come whole. Its turn, and with it the total, follows from the calls before it.
+  // Handles a call that has arrived whole. Calls are processed in order, so the time and total of
+  // the answer follow from the calls before it.
   Answer call(Time now, const Call& call);
 
-  void set(Time now, Mode mode);
+  void set_mode(Time now, Mode mode);
   Mode mode() const { return mode_; }
-  void slow(double factor) { slow_ = factor; }         // 1: as the terms say
-  void spoil(double share) { spoilt_share_ = share; }  // of the answers hold no number
-  void lose_numbers(Time now);
+  void set_slowdown(double factor) { slowdown_ = factor; }              // 1: the configured rate
+  void set_malformed_share(double share) { malformed_share_ = share; }  // of the answers
+  void reset(Time now);                                                 // loses all totals
 
-  std::size_t names() const { return numbers_.size(); }
-  std::uint64_t calls() const { return calls_; }
+  std::size_t total_count() const { return totals_.size(); }
+  std::uint64_t call_count() const { return call_count_; }
 
  private:
-  struct Number {
+  struct Total {
     double total = 0;
-    Time ends{};
+    Time expires_at{};
   };
-  void forget(Time now);
+  void evict_expired(Time now);
 
-  CounterTerms terms_;
-  Dice dice_;
+  CounterConfig config_;
+  RandomStreams random_;
   Mode mode_ = Mode::closed;
-  double slow_ = 1, spoilt_share_ = 0;
-  std::vector<Time> free_at_;  // by part
-  std::unordered_map<std::string, Number> numbers_;
-  Time swept_at_{};
-  std::uint64_t calls_ = 0;
+  double slowdown_ = 1, malformed_share_ = 0;
+  std::vector<Time> free_at_;  // by partition
+  std::unordered_map<std::string, Total> totals_;
+  Time last_eviction_{};
+  std::uint64_t call_count_ = 0;
 };
 
 }  // namespace petrelrail::world
--- a/src/world/duty_cases.cpp
+++ b/src/world/duty_cases.cpp
@@ -15,19 +15,21 @@
 class Play {
  public:
   explicit Play(const DutyCaseTerms& t, std::function<void(DutyFleet::Options&)> change = {})
-      : terms_(t), dice_(Dice(mix_hash(t.seed)).stream("duty case")), fleet_(options(t, change)) {
+      : terms_(t),
+        dice_(RandomStreams(mix_hash(t.seed)).stream("duty case")),
+        fleet_(options(t, change)) {
     fleet_.start_all();
     fleet_.run_until([&] { return fleet_.acting().has_value(); }, kMost);
     fleet_.run_for(10s);
     from_ = fleet_.now(), before_ = fleet_.totals();
   }
   DutyFleet& fleet() { return fleet_; }
-  Dice& dice() { return dice_; }
+  RandomStreams& dice() { return dice_; }
   Duration term() const { return fleet::LeaderLeaseConfig{}.term_duration(); }
   const DutyCaseTerms& terms() const { return terms_; }
   // Any moment of a term.
   std::uint32_t holder_some_time() {
-    fleet_.run_for(scaled(2 * term(), dice_.part()));
+    fleet_.run_for(scaled(2 * term(), dice_.uniform()));
     fleet_.run_until([&] { return fleet_.acting().has_value(); }, kMost);
     return *fleet_.acting();
   }
@@ -82,7 +84,7 @@
   }
 
   DutyCaseTerms terms_;
-  Dice dice_;
+  RandomStreams dice_;
   DutyFleet fleet_;
   Time from_{};
   DutyFleet::Totals before_;
@@ -193,25 +195,27 @@
 }
 DutyCaseFigures silent(const DutyCaseTerms& t) {
   return counter(
-      t, [](Counter& c, Time now) { c.set(now, Counter::Mode::silent); },
-      [](Counter& c, Time now) { c.set(now, Counter::Mode::serving); });
+      t, [](Counter& c, Time now) { c.set_mode(now, Counter::Mode::silent); },
+      [](Counter& c, Time now) { c.set_mode(now, Counter::Mode::serving); });
 }
 DutyCaseFigures slow(const DutyCaseTerms& t) {
   // Each call takes a third of a second: answers come late or not at all, adds are made all the
   // same.
   return counter(
-      t, [](Counter& c, Time) { c.slow(200); }, [](Counter& c, Time) { c.slow(1); });
+      t, [](Counter& c, Time) { c.set_slowdown(200); },
+      [](Counter& c, Time) { c.set_slowdown(1); });
 }
 DutyCaseFigures spoilt(const DutyCaseTerms& t) {
   return counter(
-      t, [](Counter& c, Time) { c.spoil(0.5); }, [](Counter& c, Time) { c.spoil(0); });
+      t, [](Counter& c, Time) { c.set_malformed_share(0.5); },
+      [](Counter& c, Time) { c.set_malformed_share(0); });
 }
 // Empty again and again, at any moment, the holder now and then dead as well.
 DutyCaseFigures emptied(const DutyCaseTerms& t) {
   Play p(t);
   for (std::uint32_t i = 0; i < 4 * t.times; ++i) {
-    p.fleet().run_for(2 * p.term() + scaled(p.term(), p.dice().part()));
-    p.fleet().counter().lose_numbers(p.fleet().now());
+    p.fleet().run_for(2 * p.term() + scaled(p.term(), p.dice().uniform()));
+    p.fleet().counter().reset(p.fleet().now());
     if (i % 4 != 3) continue;
     const auto holder = p.holder_some_time();
     p.fleet().kill(holder);
@@ -283,18 +287,18 @@
       }
       case 5: f.upgrade(n); break;
       case 6:
-        f.counter().set(f.now(), Counter::Mode::silent);
-        f.at(f.now() + span / 3, [&f] { f.counter().set(f.now(), Counter::Mode::serving); });
+        f.counter().set_mode(f.now(), Counter::Mode::silent);
+        f.at(f.now() + span / 3, [&f] { f.counter().set_mode(f.now(), Counter::Mode::serving); });
         break;
       case 7:
-        f.counter().slow(p.dice().between(1, 100)), f.counter().spoil(0.2);
-        later([&f] { f.counter().slow(1), f.counter().spoil(0); });
+        f.counter().set_slowdown(p.dice().between(1, 100)), f.counter().set_malformed_share(0.2);
+        later([&f] { f.counter().set_slowdown(1), f.counter().set_malformed_share(0); });
         break;
       default:
         // Two losses in one term are beyond what is promised.
         if (f.now() - emptied < 2 * p.term()) break;
         emptied = f.now();
-        f.counter().lose_numbers(f.now());
+        f.counter().reset(f.now());
     }
   }
   return p.done();
--- a/src/world/duty_fleet.cpp
+++ b/src/world/duty_fleet.cpp
@@ -41,10 +41,10 @@
       return cut_of(from).to_peers || cut_of(to).from_peers;
     });
   } else {
-    agenda_ = std::make_unique<Agenda>(
+    agenda_ = std::make_unique<EventQueue>(
         kBegins + Duration(static_cast<Duration::rep>(mix_hash(options_.seed) % 1'000'000'000)));
   }
-  counter_.set(now(), Counter::Mode::serving);
+  counter_.set_mode(now(), Counter::Mode::serving);
   at(now(), [this] { look(); });
   at(now(), [this] { views(); });
 }
@@ -209,7 +209,7 @@
 void DutyFleet::after(Process& p, std::size_t d) {
   auto& duty = p.duties[d];
   for (const auto& c : duty.drain_calls()) {
-    const auto waits = options_.busy > 0ns ? scaled(options_.busy, dice_.part()) : Duration{};
+    const auto waits = options_.busy > 0ns ? scaled(options_.busy, dice_.uniform()) : Duration{};
     at(now() + waits,
        [this, id = p.id, d, c] { in(id, [this, id, d, c](Process&) { write(id, d, c); }); });
   }
@@ -271,7 +271,7 @@
       while (!came.empty() && came.front() <= now() - 1s) came.pop_front();
       came.push_back(now());
       totals_.most_in = std::max<std::uint64_t>(totals_.most_in, came.size());
-      if (!network_.take(now(), to)) return;
+      if (!network_.receive(now(), to)) return;
       in(receiver->id, [this, from, d, word](Process& q) {
         q.duties[d].on_announcement(local(q), fleet::MemberId(static_cast<std::uint16_t>(from)),
                                     word);
@@ -350,7 +350,7 @@
     ++totals_.effects;
     // It may be stopped between the look at its clock and the effect.
     const auto id = p->id;
-    at(now() + scaled(2ms, dice_.part()),
+    at(now() + scaled(2ms, dice_.uniform()),
        [this, id, d, e = *epoch] { in(id, [this, d, e](Process& q) { effect(q, d, e); }); });
   }
 }
@@ -358,7 +358,7 @@
 void DutyFleet::effect(const Process& p, std::size_t d, fleet::FencingToken epoch) {
   for (std::size_t r = 0; r < kReceivers; ++r) {
     auto late = dice_.seconds_in(options_.peers.delay_ms) / 1000;
-    if (dice_.chance(0.01)) late += scaled(3s, dice_.part());
+    if (dice_.chance(0.01)) late += scaled(3s, dice_.uniform());
     at(now() + late,
        [this, d, r, id = p.id, node = p.node, epoch] { receive(d, r, id, node, epoch); });
   }
--- a/src/world/duty_fleet.hpp
+++ b/src/world/duty_fleet.hpp
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-#include "agenda.hpp"
 #include "counter.hpp"
-#include "dice.hpp"
+#include "event_queue.hpp"
 #include "fleet/leader_lease.hpp"
 #include "member_fleet.hpp"
 #include "peers.hpp"
+#include "random_streams.hpp"
 
 namespace petrelrail::world {
 
@@ -26,9 +26,9 @@
     fleet::LeaderLeaseConfig
         terms{};  // `nodes` and `counter_timeout` follow from here and from the counter
     fleet::LeaseViolation broken{};
-    PeerTerms peers{};
-    CounterTerms counter{};
-    NetworkTerms network{};
+    PeerConfig peers{};
+    CounterConfig counter{};
+    NetworkConfig network{};
     bool members = false;  // views by src/fleet/members; else all learn after a while
     Duration learns = std::chrono::seconds(
         8);  // without members: until a view shows one that is gone
@@ -65,7 +65,7 @@
   void want(bool wanted);
   void cut(std::uint32_t node, Cut cut);
   Counter& counter() { return counter_; }
-  void lose_words(double share) { network_.lose(share); }
+  void lose_words(double share) { network_.set_extra_loss(share); }
 
   // The node that may act at this moment and does not stall.
   std::optional<std::uint32_t> acting(std::size_t duty = 0) const;
@@ -126,9 +126,9 @@
   const Cut& cut_of(std::uint32_t node) const { return cuts_[node]; }
 
   Options options_;
-  Dice dice_;
+  RandomStreams dice_;
   std::unique_ptr<MemberFleet> members_;  // its agenda is the fleet's then
-  std::unique_ptr<Agenda> agenda_;
+  std::unique_ptr<EventQueue> agenda_;
   Counter counter_;
   PeerNetwork network_;
   std::vector<Cut> cuts_;
--- a/src/world/agenda.hpp
+++ b/src/world/event_queue.hpp
@@ -1,6 +1,6 @@
-// The order of events: what is to happen when, run in the order of time and, at one time, of entry.
-// No clock of its own: the model carrier lets it run from event to event, the process carrier up to
-// the present.
+// Queue of timed events, run in order of time and, for equal times, of insertion. It has no clock
+// of its own: the simulated runtime advances it from event to event, the process runtime up to the
+// current time. Single-threaded.
 #pragma once
 
 #include <algorithm>
@@ -13,29 +13,28 @@
 
 namespace petrelrail::world {
 
-class Agenda {
+class EventQueue {
  public:
-  using What = std::function<void()>;
+  using Callback = std::function<void()>;
 
-  explicit Agenda(Time begin) : now_(begin) {}
+  explicit EventQueue(Time begin) : now_(begin) {}
 
-  // The time of the event that runs, or up to which all has run. Never goes backwards.
+  // Time of the running event, or the time up to which all events have run. Never decreases.
   Time now() const { return clock_ ? std::max(now_, clock_()) : now_; }
-  // For a carrier in real time: what time it is when something comes from outside, between two
-  // events.
-  void follow(std::function<Time()> clock) { clock_ = std::move(clock); }
-  // What is entered for a time that has passed runs next.
-  void at(Time when, What what) {
-    entries_.push_back({std::max(when, now_), ++entered_, std::move(what)});
+  // Sets a real-time clock, which now() reads too: a runtime in real time receives input between
+  // two events.
+  void set_clock(std::function<Time()> clock) { clock_ = std::move(clock); }
+  // An event scheduled for a time in the past runs next.
+  void at(Time when, Callback callback) {
+    entries_.push_back({std::max(when, now_), ++last_number_, std::move(callback)});
     std::push_heap(entries_.begin(), entries_.end(), Later{});
   }
-  void after(Duration delay, What what) { at(now() + delay, std::move(what)); }
+  void after(Duration delay, Callback callback) { at(now() + delay, std::move(callback)); }
 
-  std::optional<Time> next() const {
+  std::optional<Time> next_time() const {
     return entries_.empty() ? std::nullopt : std::optional(entries_.front().when);
   }
-  // Runs all that is due up to and including `until`; events that those enter for that time as
-  // well.
+  // Runs all events due up to and including `until`, also those that running events add.
   void run_until(Time until) {
     while (!entries_.empty() && entries_.front().when <= until) run_next();
     now_ = std::max(now_, until);
@@ -45,7 +44,7 @@
   struct Entry {
     Time when{};
     std::uint64_t number = 0;
-    What what;
+    Callback callback;
   };
   struct Later {
     bool operator()(const Entry& a, const Entry& b) const {
@@ -58,12 +57,12 @@
     const Entry due = std::move(entries_.back());
     entries_.pop_back();
     now_ = std::max(now_, due.when);
-    due.what();
+    due.callback();
   }
 
   Time now_;
   std::function<Time()> clock_;
-  std::uint64_t entered_ = 0;
+  std::uint64_t last_number_ = 0;
   std::vector<Entry> entries_;
 };
 
--- a/src/world/fault_effects.hpp
+++ b/src/world/fault_effects.hpp
@@ -1,4 +1,4 @@
-// What each fault of a play touched: a fault that touched nothing has shown nothing.
+// Counts what each fault of a run affected: a fault that affected nothing has tested nothing.
 #pragma once
 
 #include <cstddef>
@@ -10,8 +10,8 @@
 
 namespace petrelrail::world {
 
-// Counts by the fault's place in the scenario. Nodes, servers, calls, answers, requests or list
-// entries, whatever the fault's kind hits. Cuts and lost datagrams are not counted.
+// Counts by index of the fault in the scenario, in the unit of the fault's kind: nodes, servers,
+// calls, answers, requests or list entries. Partitions and lost datagrams are not counted.
 class FaultEffects {
  public:
   explicit FaultEffects(const std::vector<Fault>& faults) : counts_(faults.size(), 0) {
@@ -21,8 +21,8 @@
   void begin(std::size_t fault) { active_.insert(fault); }
   void end(std::size_t fault) { active_.erase(fault); }
   void add(std::size_t fault, std::uint64_t count = 1) { counts_.at(fault) += count; }
-  // Something was touched that all faults of this kind touch while they last.
-  void touched(FaultKind kind) {
+  // Counts one effect for each active fault of this kind.
+  void record(FaultKind kind) {
     for (const auto fault : active_)
       if (kinds_[fault] == kind) add(fault);
   }
--- a/src/world/job_cases.cpp
+++ b/src/world/job_cases.cpp
@@ -57,7 +57,7 @@
 class FaultPlay {
  public:
   explicit FaultPlay(const FaultTerms& t)
-      : terms_(t), dice_(Dice(t.seed).stream("faults")), fleet_(options(t)) {}
+      : terms_(t), dice_(RandomStreams(t.seed).stream("faults")), fleet_(options(t)) {}
 
   FaultFigures play() {
     const auto end = fleet_.now() + from_seconds(terms_.minutes * 60);
@@ -167,7 +167,7 @@
   }
 
   FaultTerms terms_;
-  Dice dice_;
+  RandomStreams dice_;
   JobFleet fleet_;
   Time spread_{};
   std::uint32_t last_ = 0;
--- a/src/world/job_fleet.cpp
+++ b/src/world/job_fleet.cpp
@@ -10,14 +10,14 @@
 
 JobFleet::JobFleet(Options options)
     : options_(std::move(options)),
-      dice_(Dice(options_.seed).stream("jobs")),
+      dice_(RandomStreams(options_.seed).stream("jobs")),
       agenda_(Time(std::chrono::hours(1))) {
   for (std::uint32_t n = 0; n < options_.nodes; ++n)
     nodes_.push_back(std::make_unique<Node>(*this, n));
   for (std::uint32_t s = 0; s < fleet::kShards; ++s) {
     auto& order = shards_[s].order;
     for (std::uint32_t n = 0; n < options_.nodes; ++n) order.push_back(n);
-    auto dice = Dice(options_.seed).stream("order", s);
+    auto dice = RandomStreams(options_.seed).stream("order", s);
     dice.shuffle(order);
     // Zones in turn, so that the five don't go with one of them.
     std::vector<std::uint32_t> turn(options_.zones), place(options_.nodes);
--- a/src/world/job_fleet.hpp
+++ b/src/world/job_fleet.hpp
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "agenda.hpp"
-#include "dice.hpp"
+#include "event_queue.hpp"
 #include "fleet/job_scheduler.hpp"
+#include "random_streams.hpp"
 
 namespace petrelrail::world {
 
@@ -149,8 +149,8 @@
   void gone(std::uint32_t node);
 
   Options options_;
-  Dice dice_;
-  Agenda agenda_;
+  RandomStreams dice_;
+  EventQueue agenda_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::array<Shard, fleet::kShards> shards_;
   std::vector<std::unique_ptr<Client>> clients_;
--- a/src/world/job_world.cpp
+++ b/src/world/job_world.cpp
@@ -182,7 +182,7 @@
   Kind kind = Kind::served;
   Duration takes = from_seconds(dice_.lognormal(options_.line_s, 1));
   bool ran = arrives;
-  const double drawn = dice_.part();
+  const double drawn = dice_.uniform();
   if (!arrives) {
     kind = Kind::unknown, takes = timeout;
   } else if (drawn < options_.refused) {
--- a/src/world/member_cases.cpp
+++ b/src/world/member_cases.cpp
@@ -29,14 +29,14 @@
  public:
   explicit Play(const CaseTerms& terms)
       : terms_(terms),
-        dice_(Dice(mix_hash(terms.seed)).stream("case")),
+        dice_(RandomStreams(mix_hash(terms.seed)).stream("case")),
         fleet_(options(terms),
                [this](Time at, std::uint32_t by, const fleet::StatusChange& v) { saw(at, by, v); }),
         shaky_(terms.nodes),
         from_(fleet_.now()) {}
 
   MemberFleet& fleet() { return fleet_; }
-  Dice& dice() { return dice_; }
+  RandomStreams& dice() { return dice_; }
   double since(Time t) const { return petrelrail::seconds(fleet_.now() - t); }
   // All are up and know each other, and all is quiet.
   void settled() {
@@ -97,7 +97,7 @@
   }
 
   CaseTerms terms_;
-  Dice dice_;
+  RandomStreams dice_;
   MemberFleet fleet_;
   std::vector<bool> shaky_;
   CaseFigures figures_;
--- a/src/world/member_fleet.cpp
+++ b/src/world/member_fleet.cpp
@@ -96,7 +96,7 @@
     n.traffic.most_by_kind = {};
     for (const auto& [when, kind] : n.came) ++n.traffic.most_by_kind[kind];
   }
-  if (!network_.take(now(), to)) return;
+  if (!network_.receive(now(), to)) return;
   if (n.stalled) {
     if (n.inbox.size() < kMostWaiting) n.inbox.emplace_back(from, bytes);
     return;
--- a/src/world/member_fleet.hpp
+++ b/src/world/member_fleet.hpp
@@ -11,10 +11,10 @@
 #include <variant>
 #include <vector>
 
-#include "agenda.hpp"
-#include "dice.hpp"
+#include "event_queue.hpp"
 #include "fleet/membership.hpp"
 #include "peers.hpp"
+#include "random_streams.hpp"
 
 namespace petrelrail::world {
 
@@ -22,7 +22,7 @@
  public:
   struct Options {
     std::uint32_t nodes = 300, zones = 3;
-    PeerTerms peers{};
+    PeerConfig peers{};
     fleet::MembershipConfig terms{};  // `nodes` and `in_per_s` follow from the above
     std::uint64_t seed = 1;
   };
@@ -48,7 +48,7 @@
   void cut(std::function<bool(std::uint32_t from, std::uint32_t to)> lost) {
     lost_ = std::move(lost);
   }
-  void lose(double share) { network_.lose(share); }
+  void lose(double share) { network_.set_extra_loss(share); }
   // A datagram of anybody's making, as if it came from a node's address.
   void inject(std::uint32_t from, std::uint32_t to, std::string bytes);
   // What every datagram is shown to as it arrives.
@@ -102,8 +102,8 @@
 
   Options options_;
   Watch watch_;
-  Dice dice_;
-  Agenda agenda_;
+  RandomStreams dice_;
+  EventQueue agenda_;
   Time began_;
   PeerNetwork network_;
   std::function<bool(std::uint32_t, std::uint32_t)> lost_;
--- a/src/world/peers.hpp
+++ b/src/world/peers.hpp
@@ -1,6 +1,6 @@
-// The datagrams between edge nodes: late, lost, twice, out of order, and no more taken in a second
-// than a node can. PROTOCOL, "Between edge nodes"; BENCH, "What gateways can learn of each other".
-// Cuts are the network's.
+// Simulated datagram network between edge nodes: delay, loss, duplication, reordering, and a limit
+// on the datagrams a node receives each second (PROTOCOL, "Between edge nodes"; BENCH, "What
+// gateways can learn of each other"). Network handles partitions.
 #pragma once
 
 #include <deque>
@@ -12,39 +12,41 @@
 
 class PeerNetwork {
  public:
-  PeerNetwork(const PeerTerms& terms, std::uint32_t nodes, Dice dice)
-      : terms_(terms), dice_(std::move(dice)), taken_(nodes) {}
+  PeerNetwork(const PeerConfig& config, std::uint32_t nodes, RandomStreams random)
+      : config_(config), random_(std::move(random)), received_(nodes) {}
 
-  void lose(double share) { extra_loss_ = share; }  // besides what is always lost
-  bool too_long(std::size_t bytes) const { return bytes > terms_.most_bytes; }
+  // Sets a loss probability in addition to the configured one.
+  void set_extra_loss(double share) { extra_loss_ = share; }
+  bool too_long(std::size_t bytes) const { return bytes > config_.most_bytes; }
 
-  // When a datagram sent now arrives: not at all, once, or twice.
+  // Returns the arrival times of a datagram sent now: none, one or two.
   std::vector<Time> send(Time now) {
     std::vector<Time> arrivals;
-    if (dice_.chance(1 - (1 - terms_.loss) * (1 - extra_loss_))) return arrivals;
+    if (random_.chance(1 - (1 - config_.loss) * (1 - extra_loss_))) return arrivals;
     do {
-      auto late = from_seconds(dice_.in(terms_.delay_ms) / 1e3);
-      if (dice_.chance(terms_.reorder))
-        late += from_seconds(dice_.part() * 4 * terms_.delay_ms.most / 1e3);
-      arrivals.push_back(now + late);
-    } while (arrivals.size() < 2 && dice_.chance(terms_.duplicate));
+      auto delay = from_seconds(random_.in(config_.delay_ms) / 1e3);
+      if (random_.chance(config_.reorder))
+        delay += from_seconds(random_.uniform() * 4 * config_.delay_ms.max / 1e3);
+      arrivals.push_back(now + delay);
+    } while (arrivals.size() < 2 && random_.chance(config_.duplicate));
     return arrivals;
   }
-  // Whether a node takes in one that arrives now; it is dropped if so many came within the second
-  // before.
-  bool take(Time now, std::uint32_t node) {
-    auto& taken = taken_.at(node);
-    while (!taken.empty() && taken.front() <= now - std::chrono::seconds(1)) taken.pop_front();
-    if (static_cast<double>(taken.size()) >= terms_.in_per_s) return false;
-    taken.push_back(now);
+  // Returns whether a node receives a datagram that arrives now. The datagram is dropped when the
+  // node has received `in_per_s` datagrams within the preceding second.
+  bool receive(Time now, std::uint32_t node) {
+    auto& received = received_.at(node);
+    while (!received.empty() && received.front() <= now - std::chrono::seconds(1))
+      received.pop_front();
+    if (static_cast<double>(received.size()) >= config_.in_per_s) return false;
+    received.push_back(now);
     return true;
   }
 
  private:
-  PeerTerms terms_;
-  Dice dice_;
+  PeerConfig config_;
+  RandomStreams random_;
   double extra_loss_ = 0;
-  std::vector<std::deque<Time>> taken_;
+  std::vector<std::deque<Time>> received_;
 };
 
 }  // namespace petrelrail::world
--- a/src/world/price_server.hpp
+++ b/src/world/price_server.hpp
@@ -1,7 +1,7 @@
-// One price server: cores that share what is in work evenly, slots, a waiting room, and a capacity
-// that grows after a start. PROTOCOL, "Edge nodes to price servers"; the rule on cold starts in
-// WIRE, "Lines not to cross" 4. Work is in seconds on a reference core. Time is passed in and must
-// not go backwards.
+// Simulates one price server: cores shared evenly by the requests being processed, slots, a queue,
+// and a capacity that grows after a start (PROTOCOL, "Edge nodes to price servers"; for cold starts
+// WIRE, "Lines not to cross" 4). Work is in seconds on a reference core. The caller passes in the
+// time, which must not decrease.
 #pragma once
 
 #include <cstdint>
@@ -23,80 +23,82 @@
     gone,
     serving,
     draining,
-    vanished,
-    fallen
-  };  // vanished: says nothing; fallen: crashed cold
+    unresponsive,  // sends nothing, not even a reset
+    crashed        // overloaded while cold
+  };
   struct Done {
     JobId job{};
-    bool served = true;  // else it was turned away: its time was over before its turn came
+    bool served = true;  // false: rejected because its deadline passed while it was queued
     Time at{};
   };
 
-  PriceServer(const ServerTerms& terms, double speed, std::uint32_t slots, std::uint32_t queue);
+  PriceServer(const ServerConfig& config, double speed, std::uint32_t slots, std::uint32_t queue);
 
-  // Cold from `share` of its capacity, warm after `takes`; a takes of 0 starts it warm.
-  void start(Time now, double share, Duration takes);
+  // Starts with `initial_share` of the full capacity, which grows to all of it within `warm_up`; a
+  // `warm_up` of 0 starts the server warm.
+  void start(Time now, double initial_share, Duration warm_up);
   void drain() { phase_ = Phase::draining; }
-  // All that it holds is lost.
+  // Drops all requests and connections.
   void stop(Phase as);
   Phase phase() const { return phase_; }
-  bool reachable() const { return phase_ == Phase::serving || phase_ == Phase::draining; }
-  void slow(double factor) { slow_ = factor; }  // 1: as its speed says
+  bool is_reachable() const { return phase_ == Phase::serving || phase_ == Phase::draining; }
+  void set_slowdown(double factor) { slowdown_ = factor; }  // 1: the configured speed
 
-  // A request's last byte has come. False: it is turned away.
-  bool arrive(Time now, JobId job, double work, Time deadline);
-  void leave(Time now, JobId job);  // its connection ended; what it has in work stops
-  // Work that reached it, turned away or not, sent by a node that had been told of its start or
-  // not. True: that was more than a cold server bears, and it has fallen; `told_share` is then the
-  // part of those that had been told.
-  bool push(Time now, double work, bool told);
-  double told_share() const { return told_share_; }
+  // Called when the last byte of a request has arrived. Returns false if the request is rejected.
+  bool accept(Time now, JobId job, double work, Time deadline);
+  void cancel(Time now, JobId job);  // the request's connection ended; processing stops
+  // Records work that arrived, rejected or not; `informed`: its node had been notified of this
+  // server's start. Returns true if a cold server is overloaded by it and has crashed; then
+  // informed_share() is the share of the work sent by informed nodes.
+  bool record_load(Time now, double work, bool informed);
+  double informed_share() const { return informed_share_; }
 
-  // Handshakes are work too, spread over what is there.
+  // A full table of connections takes capacity: `full_tax`.
   void set_connections(std::uint32_t open) { connections_ = open; }
-  std::uint32_t most_connections() const;
+  std::uint32_t max_connections() const;
 
-  // When something will be done if nothing more comes; none: nothing is in work.
-  std::optional<Time> next() const;
+  // When advance() must be called next if nothing else arrives; none if no request is processed.
+  std::optional<Time> next_event_time() const;
+  // Processes up to `now` and returns the requests completed or rejected.
   std::vector<Done> advance(Time now);
 
-  // Seconds of reference work a second, at present and when warm.
+  // Reference work per second, in seconds: at `now` and when warm.
   double capacity(Time now) const;
-  double full_capacity() const { return terms_.cores * speed_; }
-  bool cold(Time now) const { return now < started_ + takes_; }
-  std::size_t held() const { return working_.size() + waiting_.size(); }
+  double full_capacity() const { return config_.cores * speed_; }
+  bool is_cold(Time now) const { return now < started_at_ + warm_up_; }
+  std::size_t request_count() const { return working_.size() + waiting_.size(); }
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     JobId job{};
     double work = 0;
     Time deadline{};
   };
-  double pace(Time now) const;  // of each job in work
-  void admit(Time now, std::vector<Done>* turned_away);
+  double rate_per_request(Time now) const;  // reference work per second of each running request
+  void start_queued(Time now, std::vector<Done>* rejected);
 
-  ServerTerms terms_;
+  ServerConfig config_;
   double speed_;
   std::uint32_t slots_, queue_;
   Phase phase_ = Phase::gone;
-  double slow_ = 1;
-  Time started_ = Time{}, at_{};
-  Duration takes_{};
-  double share_ = 1;
+  double slowdown_ = 1;
+  Time started_at_ = Time{}, advanced_to_{};
+  Duration warm_up_{};
+  double initial_share_ = 1;
   std::uint32_t connections_ = 0;
-  // All in work go on at one pace: `done_` is what each that was there from the start has got, and
-  // a job ends when that reaches its mark.
-  double done_ = 0;
+  // All running requests progress at the same rate: `progress_` is the work that one running since
+  // the start would have received, and a request completes when it reaches its finish mark.
+  double progress_ = 0;
   std::set<std::pair<double, JobId>> working_;
-  std::unordered_map<JobId, double> marks_;
-  std::deque<Waiting> waiting_;
-  struct Push {
+  std::unordered_map<JobId, double> finish_marks_;
+  std::deque<QueuedRequest> waiting_;
+  struct Load {
     Time at{};
     double work = 0;
-    bool told = false;
+    bool informed = false;
   };
-  std::deque<Push> pushes_;  // of the last fall time, while cold
-  double told_share_ = 0;
+  std::deque<Load> recent_load_;  // within the last `fall_s`, while cold
+  double informed_share_ = 0;
 };
 
 }  // namespace petrelrail::world
--- a/src/world/dice.hpp
+++ b/src/world/random_streams.hpp
@@ -1,6 +1,6 @@
-// Random numbers of the world: one seed, and from it a stream of its own for each purpose, so that
-// what one part draws does not move another. Boost's generators and distributions give the same
-// numbers on every platform.
+// Random numbers of a simulation. One seed yields a separate stream for each purpose, so that draws
+// of one component do not change those of another. Boost's generators and distributions give the
+// same numbers on every platform.
 #pragma once
 
 #include <xxhash.h>
@@ -20,35 +20,38 @@
 
 namespace petrelrail::world {
 
-// A span from which a figure is drawn, both ends included.
+// An interval that a value is drawn from, both ends included.
 struct Range {
-  double least = 0, most = 0;
+  double min = 0, max = 0;
 };
 
-class Dice {
+class RandomStreams {
  public:
-  explicit Dice(std::uint64_t seed)
+  explicit RandomStreams(std::uint64_t seed)
       : seed_(seed), engine_(static_cast<std::uint32_t>(seed ^ (seed >> 32))) {}
 
-  // The stream for a purpose, and for the one among several that share it.
-  Dice stream(std::string_view purpose, std::uint64_t number = 0) const {
-    return Dice(
+  // Returns the stream for a purpose; `number` separates streams of the same purpose. It depends on
+  // the seed alone, not on earlier draws.
+  RandomStreams stream(std::string_view purpose, std::uint64_t number = 0) const {
+    return RandomStreams(
         XXH3_64bits_withSeed(purpose.data(), purpose.size(), mix_hash(seed_ + mix_hash(number))));
   }
   std::uint64_t seed() const { return seed_; }
 
-  double part() { return boost::random::uniform_01<double>()(engine_); }  // 0 to 1, without 1
-  bool chance(double p) { return part() < p; }
-  double between(double a, double b) { return a + (b - a) * part(); }
-  double in(const Range& r) { return between(r.least, r.most); }
+  // Uniform in [0, 1).
+  double uniform() { return boost::random::uniform_01<double>()(engine_); }
+  bool chance(double p) { return uniform() < p; }
+  double between(double a, double b) { return a + (b - a) * uniform(); }
+  double in(const Range& r) { return between(r.min, r.max); }
   Duration seconds_in(const Range& r) { return from_seconds(in(r)); }
+  // Uniform integer in [0, n - 1]; `n` must not be 0.
   std::uint64_t below(std::uint64_t n) {
     return boost::random::uniform_int_distribution<std::uint64_t>(0, n - 1)(engine_);
   }
   double exponential(double mean) {
     return boost::random::exponential_distribution<double>(1 / mean)(engine_);
   }
-  // With this mean and coefficient of variation.
+  // `cv`: coefficient of variation; 0 or less returns the mean.
   double lognormal(double mean, double cv) {
     if (cv <= 0) return mean;
     const double s2 = std::log1p(cv * cv);
--- a/src/world/record_cases.cpp
+++ b/src/world/record_cases.cpp
@@ -22,7 +22,7 @@
     settle();
   }
   RecordFleet& fleet() { return fleet_; }
-  Dice& dice() { return dice_; }
+  RandomStreams& dice() { return dice_; }
   std::uint32_t any() { return static_cast<std::uint32_t>(dice_.below(fleet_.size())); }
   bool caught_up(std::uint32_t n) const { return fleet_.records(n).caught_up(fleet_.clock(n)); }
   bool settle() {
@@ -88,7 +88,7 @@
 
   RecordCaseTerms terms_;
   RecordFleet fleet_;
-  Dice dice_;
+  RandomStreams dice_;
   std::uint64_t written_ = 0;
   std::uint32_t ends_ = 0;
 };
--- a/src/world/record_fleet.cpp
+++ b/src/world/record_fleet.cpp
@@ -142,7 +142,7 @@
   while (!n.came.empty() && n.came.front() <= now() - 1s) n.came.pop_front();
   n.came.push_back(now());
   n.most_in = std::max<std::uint64_t>(n.most_in, n.came.size());
-  if (!network_.take(now(), to)) return;
+  if (!network_.receive(now(), to)) return;
   if (n.stalled) {
     if (n.inbox.size() < kMostWaiting) n.inbox.emplace_back(from, bytes);
     return;
--- a/src/world/record_fleet.hpp
+++ b/src/world/record_fleet.hpp
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "agenda.hpp"
-#include "dice.hpp"
+#include "event_queue.hpp"
 #include "fleet/replicated_store.hpp"
 #include "peers.hpp"
+#include "random_streams.hpp"
 
 namespace petrelrail::world {
 
@@ -21,7 +21,7 @@
  public:
   struct Options {
     std::uint32_t nodes = 300, zones = 3;
-    PeerTerms peers{};
+    PeerConfig peers{};
     fleet::ReplicatedStoreConfig terms{};  // `nodes` follows from the above
     Duration view_delay = std::chrono::milliseconds(2500);
     std::uint64_t seed = 1;
@@ -100,8 +100,8 @@
   void show_views();
 
   Options options_;
-  Dice dice_;
-  Agenda agenda_;
+  RandomStreams dice_;
+  EventQueue agenda_;
   PeerNetwork network_;
   std::vector<Node> nodes_;
   Lost lost_;
--- a/src/world/rules.hpp
+++ b/src/world/rules.hpp
@@ -1,5 +1,6 @@
-// The rules as WIRE, "Lines not to cross", PROTOCOL, "The rules on sockets", and TERMS word them,
-// checked on what the world saw. One checker for both carriers.
+// Checks the invariants of WIRE, "Lines not to cross", PROTOCOL, "The rules on sockets", and TERMS
+// on the observations of a run. Both runtimes use this checker; it relies on nothing a node
+// reports.
 #pragma once
 
 #include <deque>
@@ -9,117 +10,124 @@
 #include <unordered_map>
 #include <vector>
 
-#include "seen.hpp"
+#include "observations.hpp"
 
 namespace petrelrail::world {
 
-struct RuleTerms {
-  Duration answer_slack = std::chrono::milliseconds(16 + 50);  // WIRE's, and 50 ms on sockets
-  Duration lost_after = std::chrono::milliseconds(500);        // beyond its time a request is lost
-  Duration read_late = std::chrono::milliseconds(
-      50);  // that a first byte is read after it came: the sockets'
+struct InvariantConfig {
+  // Allowance of WIRE, and 50 ms for delays on sockets.
+  Duration answer_slack = std::chrono::milliseconds(16 + 50);
+  Duration lost_after = std::chrono::milliseconds(500);  // past its deadline a request is lost
+  // Delay on sockets between the arrival of a first byte and its reading.
+  Duration read_delay = std::chrono::milliseconds(50);
   Duration drain_grace = std::chrono::milliseconds(1000 + 50);
-  Duration ceiling_slack = std::chrono::milliseconds(150);  // the ceiling's rate over so long
-  double told_share = 2.0 / 3;  // of what pushed a cold server over, from nodes that were told
+  Duration ceiling_slack = std::chrono::milliseconds(150);  // allows the ceiling's rate times this
+  // Share of the work that overloaded a cold server, from nodes notified of its start, at or above
+  // which the nodes are at fault.
+  double min_informed_share = 2.0 / 3;
   std::uint32_t max_attempts = 3;
   bool second_copies = true;
-  Idempotency effect = Idempotency::idempotent;  // of every class
-  DeduplicationScope group = DeduplicationScope::all;
-  Duration memory_span = std::chrono::seconds(5);
-  std::uint32_t most_bytes = 256;
+  Idempotency idempotency = Idempotency::idempotent;  // of every class
+  DeduplicationScope deduplication_scope = DeduplicationScope::all;
+  Duration deduplication_window = std::chrono::seconds(5);
+  std::uint32_t max_datagram_bytes = 256;
   std::vector<Plan> plans;
-  // An attempt that begins so long after its client has closed is a lost request; 50 ms of it are
-  // the sockets'.
-  Duration left_slack = std::chrono::milliseconds(100 + 50);
+  // An attempt that starts later than this after its client has disconnected violates the rule of
+  // one final answer; 50 ms of it allow for delays on sockets.
+  Duration disconnect_slack = std::chrono::milliseconds(100 + 50);
 };
 
-struct Breach {
+struct Violation {
   Time at{};
-  std::string rule, what;
+  std::string rule, description;
 };
 
-class Rules {
+class InvariantChecker {
  public:
-  explicit Rules(RuleTerms terms) : terms_(std::move(terms)) {}
+  explicit InvariantChecker(InvariantConfig config) : config_(std::move(config)) {}
 
-  void saw(Time now, const Seen& s);
-  // Of requests whose time is over. To be called now and then, and at the end.
-  void pass(Time now);
-  const std::vector<Breach>& breaches() const { return breaches_; }
-  // Units sent on beyond what the customer's store held, and all: a price, not a rule.
-  double units_sent() const { return units_; }
-  double units_beyond() const { return beyond_; }
-  // What the latest whole first attempt of a try was: inside the quota.
-  bool inside(TryId id) const;
+  // Observations must come in order of time.
+  void observe(Time now, const Observation& s);
+  // Checks and removes requests whose deadline is past. Called periodically and at the end of a
+  // run.
+  void check_expired(Time now);
+  const std::vector<Violation>& violations() const { return violations_; }
+  // Units of all forwarded requests, and of those over the customer's quota. Requests over the
+  // quota have a cost and violate no invariant.
+  double units_forwarded() const { return units_forwarded_; }
+  double units_over_quota() const { return units_over_quota_; }
+  // Whether the first attempt of this client attempt was within the quota when it arrived whole at
+  // a price server.
+  bool is_within_quota(ClientAttemptId id) const;
 
  private:
-  struct Store {  // fills at a rate and holds so much at most
-    double held = 0;
+  struct TokenBucket {
+    double tokens = 0;
     Time at{};
-    double level(Time now, double rate, double most) const;
+    double level(Time now, double rate, double capacity) const;
   };
-  struct CustomerPlan {  // each of a customer's plans has quotas of its own
-    Store quota, ceiling, windows;
-    bool begun = false;
-    std::uint64_t losses = 0;  // of the counter's numbers that its windows were given anew for
+  struct CustomerPlan {  // each plan of a customer has quotas of its own
+    TokenBucket quota, ceiling, windows;
+    bool initialized = false;
+    std::uint64_t resets = 0;  // counter resets for which `windows` has been refilled
   };
-  struct Sent {  // one attempt
+  struct Attempt {
     EndpointId server{};
-    std::uint64_t attempt = 0;
+    std::uint64_t number = 0;
     Time at{};
-    bool out = true, never_ran = false;
+    bool in_flight = true, never_ran = false;
   };
-  struct Open {
-    TrySent sent;
+  struct OpenAttempt {  // a client attempt, kept until some time after its deadline
+    ClientAttemptSent sent;
     Time at{};
-    bool taken = false, answered = false, ended = false, over_time = false, inside = false,
+    bool received = false, answered = false, ended = false, over_time = false, within_quota = false,
          counted = false;
-    std::vector<Sent> attempts;
-    Time left = Time::max();  // when its client closed
+    std::vector<Attempt> attempts;
+    Time disconnected_at = Time::max();  // when its client disconnected
   };
-  struct Told {
+  struct Announcement {
     EndpointPhase phase{};
     Time at{};
   };
-  struct Where {
+  struct Location {
     std::uint32_t zone = 0, cell = 0;
   };
 
-  void on(Time now, const TrySent& s);
-  void on(Time now, const TryTaken& s);
-  void on(Time now, const TryAnswered& s);
-  void on(Time now, const TryBroken& s);
-  void on(Time now, const TryUnreachable& s);
-  void on(Time now, const TryLeft& s);
+  void on(Time now, const ClientAttemptSent& s);
+  void on(Time now, const ClientAttemptReceived& s);
+  void on(Time now, const ClientAttemptAnswered& s);
+  void on(Time now, const ClientAttemptBroken& s);
+  void on(Time now, const ClientAttemptUnreachable& s);
+  void on(Time now, const ClientAttemptAbandoned& s);
   void on(Time now, const NodeDown& s);
-  void on(Time now, const ServerTold& s);
+  void on(Time now, const ServerAnnounced& s);
   void on(Time now, const ServerStarted& s);
-  void on(Time now, const ServerFell& s);
+  void on(Time now, const ServerOverloadedCold& s);
   void on(Time now, const AttemptArrived& s);
-  void on(Time now, const AttemptOver& s);
-  void on(Time now, const CounterLost& s);
+  void on(Time now, const AttemptCompleted& s);
+  void on(Time now, const CounterReset& s);
   void on(Time now, const Datagram& s);
   template <class Other>
   void on(Time, const Other&) {}
 
-  void breach(Time now, const char* rule, std::string what);
-  void check_copies(Time now, const Open& open, const AttemptArrived& s);
-  void check_quota(Time now, Open& open);
-  static std::string text(TryId id);
+  void add_violation(Time now, const char* rule, std::string description);
+  void check_copies(Time now, const OpenAttempt& open, const AttemptArrived& s);
+  void check_quota(Time now, OpenAttempt& open);
+  static std::string text(ClientAttemptId id);
 
-  RuleTerms terms_;
-  std::unordered_map<TryId, Open> open_;
-  std::deque<std::pair<Time, TryId>>
-      due_;  // by the end of their time and what is allowed beyond it
-  std::map<std::uint32_t, std::set<TryId>> held_;  // by node, taken and not answered
-  std::map<std::pair<std::uint32_t, EndpointId>, Told> told_;
+  InvariantConfig config_;
+  std::unordered_map<ClientAttemptId, OpenAttempt> open_;
+  // In order of deadline plus the allowed delay.
+  std::deque<std::pair<Time, ClientAttemptId>> expiries_;
+  std::map<std::uint32_t, std::set<ClientAttemptId>> unanswered_;  // received, by node
+  std::map<std::pair<std::uint32_t, EndpointId>, Announcement> announcements_;
   std::map<std::uint32_t, Time> down_at_;  // when a node last ended
-  std::map<EndpointId, Where> where_;
+  std::map<EndpointId, Location> locations_;
   std::map<std::pair<CustomerId, std::uint32_t>, CustomerPlan> customer_plans_;
-  std::unordered_map<CustomerId, std::uint32_t> attempts_out_;
-  std::uint64_t losses_ = 0;
-  std::vector<Breach> breaches_;
-  double units_ = 0, beyond_ = 0;
+  std::unordered_map<CustomerId, std::uint32_t> attempts_in_flight_;
+  std::uint64_t counter_resets_ = 0;
+  std::vector<Violation> violations_;
+  double units_forwarded_ = 0, units_over_quota_ = 0;
 };
 
 }  // namespace petrelrail::world
--- a/src/world/shadow_trial.cpp
+++ b/src/world/shadow_trial.cpp
@@ -11,8 +11,8 @@
 
 #include "common/lookup.hpp"
 #include "common/time_math.hpp"
-#include "dice.hpp"
 #include "fleet/shadow.hpp"
+#include "random_streams.hpp"
 
 namespace petrelrail::world {
 namespace {
@@ -30,7 +30,7 @@
 // heaps.
 class Endings {
  public:
-  Endings(const ShadowTruth& truth, Dice dice)
+  Endings(const ShadowTruth& truth, RandomStreams dice)
       : truth_(truth), dice_(dice), bursts_(truth.shards) {}
 
   struct End {
@@ -57,7 +57,7 @@
 
  private:
   ShadowTruth truth_;
-  Dice dice_;
+  RandomStreams dice_;
   std::vector<std::uint32_t> bursts_;
 };
 
@@ -74,7 +74,7 @@
 }  // namespace
 
 TrialOutcome play_trial(const TrialTerms& terms, std::uint64_t seed) {
-  const Dice all(seed);
+  const RandomStreams all(seed);
   auto dice = all.stream("copies");
   Endings endings(terms.truth, all.stream("ends"));
   const auto shards = terms.truth.shards;
@@ -89,7 +89,7 @@
   std::uint32_t looks = 0;
   while (outcome.copies < terms.most_copies && verdicts.of_map() == MapFinding::undecided) {
     const auto shard = static_cast<std::uint32_t>(
-        std::ranges::upper_bound(up_to, dice.part() * whole) - up_to.begin());
+        std::ranges::upper_bound(up_to, dice.uniform() * whole) - up_to.begin());
     if (shard >= shards || verdicts.ended(shard)) continue;
     const auto half = dice.chance(0.5) ? Copy::candidate : Copy::control;
     put(counted[shard], half, endings.end(shard, half));
@@ -120,9 +120,9 @@
  public:
   ShadowFleet(const ShadowFleetTerms& terms, std::uint64_t seed)
       : terms_(terms),
-        dice_(Dice(seed).stream("fleet")),
-        wire_(Dice(seed).stream("wire")),
-        endings_(terms.truth, Dice(seed).stream("ends")),
+        dice_(RandomStreams(seed).stream("fleet")),
+        wire_(RandomStreams(seed).stream("wire")),
+        endings_(terms.truth, RandomStreams(seed).stream("ends")),
         made_(terms.truth.shards),
         intake_(terms.nodes) {
     ShadowTerms t;
@@ -302,7 +302,7 @@
     bool verdict = false;
   };
   ShadowFleetTerms terms_;
-  Dice dice_, wire_;
+  RandomStreams dice_, wire_;
   Endings endings_;
   std::vector<Sum> made_;
   std::vector<std::uint32_t> intake_;
--- a/src/world/model.cpp
+++ b/src/world/simulated_runtime.cpp
@@ -1,4 +1,4 @@
-#include "model.hpp"
+#include "simulated_runtime.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -28,9 +28,10 @@
 }  // namespace
 
 // One life of a node's program.
-class Model::Process final : public ConnectionView, public std::enable_shared_from_this<Process> {
+class SimulatedRuntime::Process final : public ConnectionView,
+                                        public std::enable_shared_from_this<Process> {
  public:
-  Process(Model& model, std::uint32_t node, std::uint64_t seed)
+  Process(SimulatedRuntime& model, std::uint32_t node, std::uint64_t seed)
       : model_(model),
         node_(node),
         dice_(seed),
@@ -61,14 +62,14 @@
     telling_ = false;
   }
 
-  void arrived(const Try& t) {
+  void arrived(const ClientAttempt& t) {
     const RequestId id{static_cast<std::uint64_t>(t.id)};
     open_.emplace(id, Open{t.id, {}, false});
     happened(RequestArrived{id, ClassIndex(0), PlanIndex(t.plan), t.customer, t.deadline - t.sent,
                             t.units, t.spread, t.number > 0});
   }
 
-  void client_gone(TryId id) {
+  void client_gone(ClientAttemptId id) {
     const RequestId request{static_cast<std::uint64_t>(id)};
     const auto it = open_.find(request);
     if (it == open_.end() || std::exchange(it->second.answered, true)) return;
@@ -105,7 +106,7 @@
     if (model_.world_->counter_would_connect(node_) == Connect::up) {
       if (counter_lost_) {
         counter_lost_ = false;
-        counter_up_at_ = model_.agenda_.now() + scaled(kCounterBack, dice_.part());
+        counter_up_at_ = model_.agenda_.now() + scaled(kCounterBack, dice_.uniform());
       }
     } else if (model_.world_->counter_would_connect(node_) == Connect::refused) {
       counter_lost_ = true;
@@ -186,7 +187,7 @@
     bool over = false;
   };
   struct Open {
-    TryId id{};
+    ClientAttemptId id{};
     std::vector<Attempt> attempts;
     bool answered = false;
   };
@@ -320,7 +321,8 @@
       auto* sent = self->attempt(request, n);
       if (self->ended_ || sent == nullptr) return;
       sent->number = self->model_.world_->attempt(
-          self->node_, sent->server, TryId(static_cast<std::uint64_t>(request)), first_byte);
+          self->node_, sent->server, ClientAttemptId(static_cast<std::uint64_t>(request)),
+          first_byte);
       if (sent->number != AttemptNumber::none)
         self->model_.flights_[sent->number] = {self, request, n, sent->server};
     });
@@ -408,9 +410,9 @@
             using Kind = Counter::Answer::Kind;
             self->heard_ = self->model_.agenda_.now();
             if (self->ended_ || std::exchange(*told, true)) return;
-            const auto outcome = a.kind == Kind::ok       ? CounterOutcome::ok
-                                 : a.kind == Kind::spoilt ? CounterOutcome::timeout
-                                                          : CounterOutcome::refused;
+            const auto outcome = a.kind == Kind::ok          ? CounterOutcome::ok
+                                 : a.kind == Kind::malformed ? CounterOutcome::timeout
+                                                             : CounterOutcome::refused;
             self->happened(CounterResponse{key, outcome, a.total, self->heard_ - now});
           });
         });
@@ -436,9 +438,9 @@
   void carry_out(const Subscribe&) {}
   void carry_out(const Log& s) { model_.logged_(model_.agenda_.now(), node_, s.text); }
 
-  Model& model_;
+  SimulatedRuntime& model_;
   std::uint32_t node_;
-  Dice dice_;
+  RandomStreams dice_;
   Settings settings_;
   Gateway gateway_;
   std::map<RequestId, Open> open_;
@@ -451,16 +453,17 @@
   Time heard_, counter_up_at_{};
 };
 
-Model::Model(const Scenario& scenario, std::uint64_t seed, Agenda& agenda, Logged logged)
+SimulatedRuntime::SimulatedRuntime(const Scenario& scenario, std::uint64_t seed, EventQueue& agenda,
+                                   Logged logged)
     : scenario_(scenario),
-      dice_(Dice(mix_hash(seed)).stream("model")),
+      dice_(RandomStreams(mix_hash(seed)).stream("model")),
       agenda_(agenda),
       logged_(std::move(logged)),
       nodes_(scenario.fleet.nodes) {}
 
-Model::~Model() = default;
+SimulatedRuntime::~SimulatedRuntime() = default;
 
-void Model::enter(std::uint32_t node, std::function<void()> what) {
+void SimulatedRuntime::enter(std::uint32_t node, std::function<void()> what) {
   auto& n = nodes_[node];
   if (n.stalled)
     n.waiting.push_back(std::move(what));
@@ -468,12 +471,12 @@
     what();
 }
 
-std::shared_ptr<Model::Process> Model::new_process(std::uint32_t node) {
+std::shared_ptr<SimulatedRuntime::Process> SimulatedRuntime::new_process(std::uint32_t node) {
   const auto life = ++nodes_[node].lives;
   return std::make_shared<Process>(*this, node, dice_.stream("node", mix_hash(node) + life).seed());
 }
 
-void Model::start_node(std::uint32_t node) {
+void SimulatedRuntime::start_node(std::uint32_t node) {
   agenda_.after(from_seconds(scenario_.fleet.start_s), [this, node, life = nodes_[node].lives] {
     auto& n = nodes_[node];
     if (n.lives != life) return;
@@ -486,7 +489,7 @@
   });
 }
 
-void Model::kill_node(std::uint32_t node) {
+void SimulatedRuntime::kill_node(std::uint32_t node) {
   auto& n = nodes_[node];
   ++n.lives;
   n.stalled = false, n.waiting.clear();
@@ -495,7 +498,7 @@
 }
 
 // Takes new connections for a while, and ends when all that it has is done.
-void Model::drain(const std::shared_ptr<Process>& process, Time from) {
+void SimulatedRuntime::drain(const std::shared_ptr<Process>& process, Time from) {
   if (process->ended()) return;
   auto& n = nodes_[process->node()];
   if (n.stalled || !process->idle() || agenda_.now() < from + limits::kNewConnectionsAfterTerm)
@@ -508,14 +511,14 @@
   world_->node_ended(process->node());
 }
 
-void Model::term_node(std::uint32_t node) {
+void SimulatedRuntime::term_node(std::uint32_t node) {
   const auto process = nodes_[node].serving;
   if (!process) return;
   enter(node, [process] { process->leaves(); });
   drain(process, agenda_.now());
 }
 
-void Model::stall_node(std::uint32_t node, bool stalled) {
+void SimulatedRuntime::stall_node(std::uint32_t node, bool stalled) {
   auto& n = nodes_[node];
   n.stalled = stalled;
   while (!n.stalled && !n.waiting.empty()) {
@@ -525,12 +528,12 @@
   }
 }
 
-void Model::reload_node(std::uint32_t node, const Fault& fault) {
+void SimulatedRuntime::reload_node(std::uint32_t node, const Fault& fault) {
   if (nodes_[node].serving)
     enter(node, [p = nodes_[node].serving, n = fault.max_attempts] { p->retune(n); });
 }
 
-void Model::upgrade_node(std::uint32_t node) {
+void SimulatedRuntime::upgrade_node(std::uint32_t node) {
   if (!nodes_[node].serving) return;
   agenda_.after(from_seconds(scenario_.fleet.start_s), [this, node, old = nodes_[node].serving] {
     auto& n = nodes_[node];
@@ -548,7 +551,7 @@
   });
 }
 
-void Model::submit(const Try& t) {
+void SimulatedRuntime::submit(const ClientAttempt& t) {
   agenda_.after(world_->client_way(), [this, id = t.id] {
     const auto* sent = world_->find(id);
     if (sent == nullptr) return;
@@ -563,7 +566,7 @@
   });
 }
 
-void Model::leave(TryId id) {
+void SimulatedRuntime::leave(ClientAttemptId id) {
   agenda_.after(world_->client_way(), [this, id] {
     const auto it = holders_.find(id);
     if (it == holders_.end()) return;
@@ -573,7 +576,7 @@
   });
 }
 
-void Model::answer(AttemptNumber attempt, ServerAnswer answer) {
+void SimulatedRuntime::answer(AttemptNumber attempt, ServerAnswer answer) {
   const auto it = flights_.find(attempt);
   if (it == flights_.end()) return;
   const auto f = it->second;
@@ -586,26 +589,27 @@
   });
 }
 
-void Model::reset_connections(std::uint32_t server) {
+void SimulatedRuntime::reset_connections(std::uint32_t server) {
   for (auto& n : nodes_) {
     if (n.serving) n.serving->reset(server);
     for (const auto& p : n.leaving) p->reset(server);
   }
 }
 
-void Model::list_changed(std::uint32_t node, std::span<const Entry> changes, std::int64_t) {
+void SimulatedRuntime::list_changed(std::uint32_t node, std::span<const Entry> changes,
+                                    std::int64_t) {
   auto& n = nodes_[node];
   const auto update = update_of(EndpointListKind::delta, changes);
   for (const auto& p : n.leaving) enter(node, [p, update] { p->happened(update); });
   if (n.serving) enter(node, [p = n.serving, update] { p->happened(update); });
 }
 
-void Model::datagram(std::uint32_t from, std::uint32_t to, std::string_view payload) {
+void SimulatedRuntime::datagram(std::uint32_t from, std::uint32_t to, std::string_view payload) {
   if (const auto p = nodes_[to].serving)
     enter(to, [p, from, text = std::string(payload)] { p->peer_said(from, text); });
 }
 
-double Model::views_agreed() const {
+double SimulatedRuntime::views_agreed() const {
   double up = 0, agree = 0;
   for (std::uint32_t n = 0; n < nodes_.size(); ++n) {
     if (!world_->node_up(n) || !nodes_[n].serving) continue;
@@ -626,7 +630,7 @@
   return up > 0 ? agree / up : 1;
 }
 
-void Model::network_changed() {
+void SimulatedRuntime::network_changed() {
   for (auto& n : nodes_) {
     if (n.serving) n.serving->network_changed();
     for (const auto& p : n.leaving) p->network_changed();
--- a/src/world/model.hpp
+++ b/src/world/simulated_runtime.hpp
@@ -10,17 +10,17 @@
 #include <string>
 
 #include "node/settings_reader.hpp"
-#include "world.hpp"
+#include "simulation.hpp"
 
 namespace petrelrail::world {
 
-class Model final : public Carrier {
+class SimulatedRuntime final : public Runtime {
  public:
   using Logged = std::function<void(Time, std::uint32_t node, const std::string& text)>;
 
-  Model(const Scenario& scenario, std::uint64_t seed, Agenda& agenda, Logged logged);
-  ~Model() override;
-  void serve(World& world) { world_ = &world; }
+  SimulatedRuntime(const Scenario& scenario, std::uint64_t seed, EventQueue& agenda, Logged logged);
+  ~SimulatedRuntime() override;
+  void serve(Simulation& world) { world_ = &world; }
 
   void start_node(std::uint32_t node) override;
   void kill_node(std::uint32_t node) override;
@@ -28,8 +28,8 @@
   void stall_node(std::uint32_t node, bool stalled) override;
   void reload_node(std::uint32_t node, const Fault& fault) override;
   void upgrade_node(std::uint32_t node) override;
-  void submit(const Try& t) override;
-  void leave(TryId id) override;
+  void submit(const ClientAttempt& t) override;
+  void leave(ClientAttemptId id) override;
   void answer(AttemptNumber attempt, ServerAnswer answer) override;
   void server_added(std::uint32_t) override {}
   void reset_connections(std::uint32_t server) override;
@@ -62,13 +62,13 @@
   void drain(const std::shared_ptr<Process>& process, Time from);
 
   const Scenario& scenario_;
-  Dice dice_;
-  Agenda& agenda_;
+  RandomStreams dice_;
+  EventQueue& agenda_;
   Logged logged_;
-  World* world_ = nullptr;
+  Simulation* world_ = nullptr;
   std::vector<Node> nodes_;
   std::unordered_map<AttemptNumber, Flight> flights_;
-  std::unordered_map<TryId, std::shared_ptr<Process>> holders_;
+  std::unordered_map<ClientAttemptId, std::shared_ptr<Process>> holders_;
 };
 
 }  // namespace petrelrail::world
--- a/src/world/world.cpp
+++ b/src/world/simulation.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "simulation.hpp"
 
 #include <algorithm>
 #include <array>
@@ -103,8 +103,8 @@
   return text;
 }
 
-World::World(const Scenario& scenario, std::uint64_t seed, Agenda& agenda, Carrier& carrier,
-             std::function<void(Time, const Seen&)> watcher)
+Simulation::Simulation(const Scenario& scenario, std::uint64_t seed, EventQueue& agenda,
+                       Runtime& carrier, std::function<void(Time, const Observation&)> watcher)
     : scenario_(scenario),
       dice_(mix_hash(seed)),
       agenda_(agenda),
@@ -125,11 +125,11 @@
 
 // ---- The parties --------------------------------------------------------------------------------
 
-std::uint32_t World::zone_of_node(std::uint32_t node) const {
+std::uint32_t Simulation::zone_of_node(std::uint32_t node) const {
   return node % static_cast<std::uint32_t>(scenario_.fleet.zones.size());
 }
 
-std::uint32_t World::add_server(std::uint32_t zone, std::uint32_t cell) {
+std::uint32_t Simulation::add_server(std::uint32_t zone, std::uint32_t cell) {
   const auto& t = scenario_.servers;
   const auto number = static_cast<std::uint32_t>(servers_.size());
   auto dice = dice_.stream("server", number);
@@ -157,7 +157,7 @@
   return number;
 }
 
-void World::make_servers() {
+void Simulation::make_servers() {
   const auto zones = static_cast<std::uint32_t>(scenario_.fleet.zones.size());
   for (std::uint32_t i = 0; i < scenario_.servers.count; ++i) {
     const auto zone = i % zones;
@@ -172,7 +172,7 @@
 }
 
 // Customers of each plan until what they ask inside their quotas is the plan's share of the load.
-void World::make_customers() {
+void Simulation::make_customers() {
   const auto& t = scenario_.clients;
   double capacity = 0, shares = 0;
   for (const auto& s : servers_) capacity += s.model.full_capacity();
@@ -186,7 +186,7 @@
       Customer c{.dice = dice_.stream("customer", ++number)};
       c.id = CustomerId(mix_hash(dice_.seed() + number) >> 31U);
       c.plan = plan;
-      const double kind = c.dice.part();
+      const double kind = c.dice.uniform();
       double use = c.dice.in(t.calm_use);
       if (kind < t.full) {
         use = kFullUse;
@@ -196,7 +196,7 @@
         c.spike = std::max(1.0, c.dice.in(t.spike_x) / use);
         c.spike_for = c.dice.seconds_in(t.spike_s);
         c.spike_every = std::max(c.dice.seconds_in(t.spike_every_s), c.spike_for);
-        c.spike_phase = scaled(c.spike_every, c.dice.part());
+        c.spike_phase = scaled(c.spike_every, c.dice.uniform());
       }
       c.rate = use * terms.rate;
       inside += std::min(use, 1.0) * terms.rate;
@@ -215,22 +215,22 @@
 
 // ---- Nodes --------------------------------------------------------------------------------------
 
-void World::begin(Duration patience) {
+void Simulation::begin(Duration patience) {
   for (std::uint32_t n = 0; n < nodes_.size(); ++n) start(n);
   agenda_.after(patience, [this] { begin_clients(); });
 }
 
-void World::start(std::uint32_t node) {
+void Simulation::start(std::uint32_t node) {
   nodes_[node].life = Life::starting;
   ++nodes_[node].lives;
   // The list that it starts with is told with its configuration: clients may reach it before it
   // says that it is ready.
   for (const auto& [number, e] : nodes_[node].list.entries)
-    see(ServerTold{node, EndpointId(number), e.phase, true});
+    see(ServerAnnounced{node, EndpointId(number), e.phase, true});
   carrier_.start_node(node);
 }
 
-void World::node_ready(std::uint32_t node) {
+void Simulation::node_ready(std::uint32_t node) {
   auto& n = nodes_[node];
   if (n.life != Life::starting) return;
   n.life = Life::up, n.front_sees = true;
@@ -240,7 +240,7 @@
     begin_clients();
 }
 
-void World::down(std::uint32_t node, bool crashed) {
+void Simulation::down(std::uint32_t node, bool crashed) {
   auto& n = nodes_[node];
   n.life = Life::down;
   see(NodeDown{node, crashed});
@@ -250,7 +250,7 @@
   });
 }
 
-void World::node_ended(std::uint32_t node) {
+void Simulation::node_ended(std::uint32_t node) {
   auto& n = nodes_[node];
   if (n.life == Life::down) return;
   const bool planned = n.life == Life::ending;
@@ -258,12 +258,12 @@
   if (planned && n.comes_back) start(node);
 }
 
-void World::planned_end(std::uint32_t node) {
+void Simulation::planned_end(std::uint32_t node) {
   auto& n = nodes_[node];
   if (n.life != Life::up) return;
   n.life = Life::ending, n.comes_back = true;
   const auto life = n.lives;
-  agenda_.after(kFrontStops + scaled(kFrontStopsMore, clients_.part()), [this, node, life] {
+  agenda_.after(kFrontStops + scaled(kFrontStopsMore, clients_.uniform()), [this, node, life] {
     if (nodes_[node].lives == life) nodes_[node].front_sees = false;
   });
   agenda_.after(from_seconds(scenario_.fleet.term_s), [this, node, life] {
@@ -276,26 +276,26 @@
 
 // ---- Clients and their front --------------------------------------------------------------------
 
-void World::begin_clients() {
+void Simulation::begin_clients() {
   if (clients_began()) return;
   began_at_ = agenda_.now();
   quiet_from_ = began_at_ + from_seconds(scenario_.fleet.seconds);
-  counter_.set(began_at_, Counter::Mode::serving);
+  counter_.set_mode(began_at_, Counter::Mode::serving);
   for (std::size_t i = 0; i < customers_.size(); ++i) next_arrival(i);
   for (std::size_t i = 0; i < scenario_.faults.size(); ++i) schedule(scenario_.faults[i], i);
 }
 
-bool World::over() const {
+bool Simulation::over() const {
   if (!clients_began() || agenda_.now() < quiet_from_) return false;
   return std::ranges::all_of(tries_, [](const auto& t) { return t.second.ended; });
 }
 
-Time World::ends_at() const {
+Time Simulation::ends_at() const {
   return quiet_from_ +
          from_seconds((scenario_.clients.deadline_ms + scenario_.clients.patience_ms) / 1e3 + 0.1);
 }
 
-double World::rate_now(const Customer& c, Time at) const {
+double Simulation::rate_now(const Customer& c, Time at) const {
   double rate = c.rate * burst_;
   if (c.spike > 1 && (at - began_at_ + c.spike_phase) % c.spike_every < c.spike_for)
     rate *= c.spike;
@@ -304,7 +304,7 @@
 
 // Arrivals of a rate that changes, by thinning: drawn at the highest it can have, and kept in
 // proportion.
-void World::next_arrival(std::size_t customer) {
+void Simulation::next_arrival(std::size_t customer) {
   auto& c = customers_[customer];
   double most = std::max(c.spike, 1.0) * c.rate;
   double factor = 1;
@@ -312,7 +312,7 @@
     if (f.kind == FaultKind::burst) factor = std::max(factor, f.factor);
   most *= factor;
   const Time when = agenda_.now() + from_seconds(c.dice.exponential(1 / most));
-  const double keep = c.dice.part();
+  const double keep = c.dice.uniform();
   if (when >= quiet_from_) return;
   agenda_.at(when, [this, customer, keep, most] {
     if (keep * most < rate_now(customers_[customer], agenda_.now())) ask(customer, nullptr);
@@ -320,7 +320,7 @@
   });
 }
 
-std::optional<std::uint32_t> World::pick_node(Customer& c) {
+std::optional<std::uint32_t> Simulation::pick_node(Customer& c) {
   const auto nodes = scenario_.fleet.nodes;
   const auto period = (agenda_.now() - began_at_) /
                       from_seconds(std::max(scenario_.clients.shift_s, 0.1));
@@ -335,7 +335,7 @@
   for (std::uint32_t i = 0; i < c.spread; ++i)
     if (takes_requests((c.first + i) % nodes)) all += c.weights[i];
   if (all <= 0) return std::nullopt;
-  double at = clients_.part() * all;
+  double at = clients_.uniform() * all;
   std::optional<std::uint32_t> last;
   for (std::uint32_t i = 0; i < c.spread; ++i) {
     const auto n = (c.first + i) % nodes;
@@ -347,26 +347,26 @@
 }
 
 // Clients may send on what a node leaves open after SIGTERM, until it is killed.
-bool World::takes_requests(std::uint32_t node) const {
+bool Simulation::takes_requests(std::uint32_t node) const {
   if (nodes_[node].front_sees) return true;
-  return scenario_.clients.keeps_open && nodes_[node].life == Life::ending &&
+  return scenario_.clients.reuses_draining_connections && nodes_[node].life == Life::ending &&
          carrier_.has_idle_connection(node);
 }
 
-std::uint32_t World::pick_plan(const Customer& c, TryId id) const {
-  const double share = scenario_.clients.turn_share;
+std::uint32_t Simulation::pick_plan(const Customer& c, ClientAttemptId id) const {
+  const double share = scenario_.clients.plan_switch_share;
   if (share <= 0) return c.plan;
   auto dice = dice_.stream("turn", static_cast<std::uint64_t>(id));
   if (!dice.chance(share)) return c.plan;
   return static_cast<std::uint32_t>(dice.below(plans_.size()));
 }
 
-void World::ask(std::size_t customer, const Try* before) {
+void Simulation::ask(std::size_t customer, const ClientAttempt* before) {
   auto& c = customers_[customer];
   const auto& terms = scenario_.clients;
   const Time now = agenda_.now();
-  Try t;
-  t.id = TryId(mix_hash(dice_.seed() ^ mix_hash(++last_try_)));
+  ClientAttempt t;
+  t.id = ClientAttemptId(mix_hash(dice_.seed() ^ mix_hash(++last_try_)));
   t.customer = c.id, t.asker = customer, t.plan = pick_plan(c, t.id), t.first = c.first,
   t.spread = c.spread, t.sent = now;
   if (before != nullptr) {
@@ -379,13 +379,14 @@
   const auto node = pick_node(c);
   t.node = node.value_or(c.first);
   tries_.emplace(t.id, OpenTry{t});
-  if (before == nullptr) effects_.touched(FaultKind::burst);
-  see(TrySent{t.id, t.node, t.customer, t.plan, t.units, t.spread, t.deadline, t.root, t.asked});
+  if (before == nullptr) effects_.record(FaultKind::burst);
+  see(ClientAttemptSent{t.id, t.node, t.customer, t.plan, t.units, t.spread, t.deadline, t.root,
+                        t.asked});
   agenda_.at(t.deadline, [this, id = t.id] { time_up(id); });
-  if (terms.leave_share > 0) {
+  if (terms.early_disconnect_share > 0) {
     auto dice = dice_.stream("leave", static_cast<std::uint64_t>(t.id));
-    if (dice.chance(terms.leave_share))
-      agenda_.at(now + scaled(t.deadline - now, dice.part()), [this, id = t.id] { leave(id); });
+    if (dice.chance(terms.early_disconnect_share))
+      agenda_.at(now + scaled(t.deadline - now, dice.uniform()), [this, id = t.id] { leave(id); });
   }
   if (!node || !network_.passes(kClients, node_party(t.node))) {
     if (!node || network_.resets(kClients, node_party(t.node)))
@@ -395,28 +396,28 @@
   carrier_.submit(t);
 }
 
-const Try* World::find(TryId id) const {
+const ClientAttempt* Simulation::find(ClientAttemptId id) const {
   const auto it = tries_.find(id);
   return it == tries_.end() ? nullptr : &it->second.t;
 }
 
-const Try* World::find_waiting(TryId id) const {
+const ClientAttempt* Simulation::find_waiting(ClientAttemptId id) const {
   const auto it = tries_.find(id);
   return it == tries_.end() || it->second.ended ? nullptr : &it->second.t;
 }
 
 // The client closes its connection before its time is over, and asks no more.
-void World::leave(TryId id) {
+void Simulation::leave(ClientAttemptId id) {
   const auto it = tries_.find(id);
   if (it == tries_.end() || it->second.ended) return;
   it->second.ended = true;
-  see(TryLeft{id, true});
+  see(ClientAttemptAbandoned{id, true});
   carrier_.leave(id);
 }
 
 // The client's wait for this try is over: it may try again, but looks on for an answer for its
 // patience.
-void World::time_up(TryId id) {
+void Simulation::time_up(ClientAttemptId id) {
   const auto it = tries_.find(id);
   if (it == tries_.end()) return;
   if (!it->second.ended || it->second.swallowed) retry(it->second, {});
@@ -424,17 +425,17 @@
     const auto open = tries_.find(id);
     if (open == tries_.end()) return;
     if (!open->second.ended) {
-      see(TryLeft{id, false});
+      see(ClientAttemptAbandoned{id, false});
       carrier_.leave(id);
     }
     tries_.erase(open);
   });
 }
 
-void World::retry(OpenTry& o, Duration advice) {
+void Simulation::retry(OpenTry& o, Duration advice) {
   const auto& terms = scenario_.clients;
   if (std::exchange(o.retried, true) || o.t.number >= terms.retries) return;
-  double ms = std::min(terms.backoff_ms.least * std::exp2(o.t.number), terms.backoff_ms.most);
+  double ms = std::min(terms.backoff_ms.min * std::exp2(o.t.number), terms.backoff_ms.max);
   ms *= clients_.between(1 - kBackoffSpread, 1 + kBackoffSpread);
   if (customers_[o.t.asker].honours && advice > Duration{})
     ms = std::max(ms, std::min(seconds(advice) * 1e3, terms.most_retry_after_ms));
@@ -443,57 +444,57 @@
   agenda_.at(when, [this, before = o.t] { ask(before.asker, &before); });
 }
 
-void World::taken(TryId id) { see(TryTaken{id}); }
+void Simulation::taken(ClientAttemptId id) { see(ClientAttemptReceived{id}); }
 
 // One that is cut off from the client on its way says nothing, and is no fault of the node's.
-void World::answered(TryId id, Verdict verdict, Duration retry_after, bool genuine) {
+void Simulation::answered(ClientAttemptId id, Verdict verdict, Duration retry_after, bool genuine) {
   const auto it = tries_.find(id);
   if (it != tries_.end() && !it->second.ended &&
       !network_.passes(node_party(it->second.t.node), kClients)) {
     it->second.ended = it->second.swallowed = true;
-    return see(TryUnreachable{id});
+    return see(ClientAttemptUnreachable{id});
   }
-  see(TryAnswered{id, verdict, genuine});
+  see(ClientAttemptAnswered{id, verdict, genuine});
   if (it == tries_.end() || std::exchange(it->second.ended, true)) return;
   if (verdict != Verdict::served) retry(it->second, retry_after);
 }
 
-void World::broken(TryId id, bool first_on_connection) {
+void Simulation::broken(ClientAttemptId id, bool first_on_connection) {
   const auto it = tries_.find(id);
   if (it == tries_.end() || std::exchange(it->second.ended, true)) return;
-  see(TryBroken{id, first_on_connection});
+  see(ClientAttemptBroken{id, first_on_connection});
   retry(it->second, {});
 }
 
-void World::unreachable(TryId id) {
+void Simulation::unreachable(ClientAttemptId id) {
   const auto it = tries_.find(id);
   if (it == tries_.end() || std::exchange(it->second.ended, true)) return;
-  see(TryUnreachable{id});
+  see(ClientAttemptUnreachable{id});
   retry(it->second, {});
 }
 
 // ---- Price servers ------------------------------------------------------------------------------
 
-Duration World::way(std::uint32_t node, std::uint32_t server) {
-  return network_.way(zone_of_node(node), servers_.at(server).zone);
+Duration Simulation::way(std::uint32_t node, std::uint32_t server) {
+  return network_.one_way_delay(zone_of_node(node), servers_.at(server).zone);
 }
 
-Duration World::handshake(std::uint32_t node, std::uint32_t server) {
+Duration Simulation::handshake(std::uint32_t node, std::uint32_t server) {
   return scaled(2 * way(node, server), scenario_.servers.handshake_trips) +
          from_seconds(scenario_.servers.handshake_ms / 1e3);
 }
 
-Connect World::would_connect(std::uint32_t node, std::uint32_t server) const {
+Connect Simulation::would_connect(std::uint32_t node, std::uint32_t server) const {
   const auto& s = servers_.at(server);
-  if (!network_.talk(node_party(node), server_party(server)))
+  if (!network_.connected(node_party(node), server_party(server)))
     return network_.resets(node_party(node), server_party(server)) ? Connect::refused
                                                                    : Connect::silent;
-  if (s.model.phase() == PriceServer::Phase::vanished) return Connect::silent;
-  return s.model.reachable() && s.connections < s.model.most_connections() ? Connect::up
-                                                                           : Connect::refused;
+  if (s.model.phase() == PriceServer::Phase::unresponsive) return Connect::silent;
+  return s.model.is_reachable() && s.connections < s.model.max_connections() ? Connect::up
+                                                                             : Connect::refused;
 }
 
-Connect World::connect(std::uint32_t node, std::uint32_t server) {
+Connect Simulation::connect(std::uint32_t node, std::uint32_t server) {
   auto& s = servers_.at(server);
   const auto met = would_connect(node, server);
   see(Handshake{node, EndpointId(server), met == Connect::up});
@@ -501,15 +502,16 @@
   return met;
 }
 
-void World::closed(std::uint32_t, std::uint32_t server) {
+void Simulation::closed(std::uint32_t, std::uint32_t server) {
   auto& s = servers_.at(server);
   if (s.connections > 0) s.model.set_connections(--s.connections);
 }
 
-AttemptNumber World::attempt(std::uint32_t node, std::uint32_t server, TryId id, Time first_byte) {
+AttemptNumber Simulation::attempt(std::uint32_t node, std::uint32_t server, ClientAttemptId id,
+                                  Time first_byte) {
   auto& s = servers_.at(server);
   const Time now = agenda_.now();
-  if (!network_.passes(node_party(node), server_party(server)) || !s.model.reachable())
+  if (!network_.passes(node_party(node), server_party(server)) || !s.model.is_reachable())
     return AttemptNumber::none;
   run_server(server);
   const auto number = AttemptNumber(++last_attempt_);
@@ -523,20 +525,20 @@
   see(AttemptArrived{id, node, EndpointId(server), first_byte, last_attempt_, work,
                      zone_of_node(node) != s.zone});
   attempts_.emplace(number, Attempt{node, server, id, JobId(last_attempt_)});
-  if (s.slowed) effects_.touched(FaultKind::servers_slow);
+  if (s.slowed) effects_.record(FaultKind::servers_slow);
   const auto entry = nodes_[node].list.entries.find(server);
   const bool told = entry != nodes_[node].list.entries.end() && entry->second.started == s.started;
-  if (s.model.push(now, work, told)) {
-    see(ServerFell{EndpointId(server), s.model.told_share()});
-    lose_server(server, PriceServer::Phase::fallen);
+  if (s.model.record_load(now, work, told)) {
+    see(ServerOverloadedCold{EndpointId(server), s.model.informed_share()});
+    lose_server(server, PriceServer::Phase::crashed);
     list(server, EndpointPhase::gone, discovery_dice_.seconds_in(scenario_.discovery.notice_s));
     return AttemptNumber::none;
   }
   if (auto failing = works_.stream("error", last_attempt_);
       failing.chance(std::max(s.errors, terms.error_rate))) {
-    if (s.errors > 0) effects_.touched(FaultKind::servers_bad);
+    if (s.errors > 0) effects_.record(FaultKind::servers_bad);
     agenda_.after(kQuickError, [this, number] { finish(number, ServerAnswer::error); });
-  } else if (!s.model.arrive(now, JobId(last_attempt_), work,
+  } else if (!s.model.accept(now, JobId(last_attempt_), work,
                              t != nullptr ? t->deadline : Time::max())) {
     agenda_.after(kTurnAway, [this, number] { finish(number, ServerAnswer::full); });
   }
@@ -545,30 +547,30 @@
 }
 
 // The server works on: it does not see that nobody waits any more (`cancel` of the site is "none").
-void World::attempt_left(AttemptNumber number) {
+void Simulation::attempt_left(AttemptNumber number) {
   const auto it = attempts_.find(number);
   if (it == attempts_.end()) return;
-  see(AttemptOver{it->second.id, static_cast<std::uint64_t>(number), false});
+  see(AttemptCompleted{it->second.id, static_cast<std::uint64_t>(number), false});
   attempts_.erase(it);
 }
 
-void World::finish(AttemptNumber number, ServerAnswer answer) {
+void Simulation::finish(AttemptNumber number, ServerAnswer answer) {
   const auto it = attempts_.find(number);
   if (it == attempts_.end()) return;
   const auto a = it->second;
   if (answer == ServerAnswer::ok && spoilt_ > 0 &&
       works_.stream("spoilt", static_cast<std::uint64_t>(number)).chance(spoilt_)) {
     answer = ServerAnswer::spoilt;
-    effects_.touched(FaultKind::answers_spoilt);
+    effects_.record(FaultKind::answers_spoilt);
   }
   attempts_.erase(it);
-  see(AttemptOver{a.id, static_cast<std::uint64_t>(number), answer == ServerAnswer::full});
+  see(AttemptCompleted{a.id, static_cast<std::uint64_t>(number), answer == ServerAnswer::full});
   if (network_.passes(server_party(a.server), node_party(a.node))) carrier_.answer(number, answer);
 }
 
-void World::wake(std::uint32_t server) {
+void Simulation::wake(std::uint32_t server) {
   auto& s = servers_[server];
-  const auto next = s.model.next();
+  const auto next = s.model.next_event_time();
   if (!next || *next >= s.wakes_at) return;
   s.wakes_at = *next;
   agenda_.at(*next, [this, server, life = s.life, when = *next] {
@@ -579,7 +581,7 @@
   });
 }
 
-void World::run_server(std::uint32_t server) {
+void Simulation::run_server(std::uint32_t server) {
   auto& s = servers_[server];
   if (s.wakes_at <= agenda_.now()) s.wakes_at = Time::max();
   for (const auto& done : s.model.advance(agenda_.now()))
@@ -587,7 +589,7 @@
            done.served ? ServerAnswer::ok : ServerAnswer::full);
 }
 
-void World::start_server(std::uint32_t server, bool cold) {
+void Simulation::start_server(std::uint32_t server, bool cold) {
   auto& s = servers_[server];
   ++s.life;
   s.wakes_at = Time::max(), s.connections = 0, s.errors = 0;
@@ -601,13 +603,13 @@
   carrier_.network_changed();
 }
 
-void World::lose_server(std::uint32_t server, PriceServer::Phase as) {
+void Simulation::lose_server(std::uint32_t server, PriceServer::Phase as) {
   auto& s = servers_[server];
   run_server(server);
   ++s.life;
   s.wakes_at = Time::max();
   s.model.stop(as);
-  if (as != PriceServer::Phase::vanished) {
+  if (as != PriceServer::Phase::unresponsive) {
     std::vector<AttemptNumber> lost;
     for (const auto& [number, a] : attempts_)
       if (a.server == server) lost.push_back(number);
@@ -623,11 +625,11 @@
 
 // What has become of a server is known to discovery after `noticed`, and written to each node's
 // agent a while later.
-void World::list(std::uint32_t server, EndpointPhase phase, Duration noticed,
-                 std::optional<std::uint32_t> wrong_zone) {
+void Simulation::list(std::uint32_t server, EndpointPhase phase, Duration noticed,
+                      std::optional<std::uint32_t> wrong_zone) {
   agenda_.after(noticed, [this, server, phase, life = servers_[server].life, wrong_zone] {
     auto& s = servers_[server];
-    if (phase == EndpointPhase::gone && s.life != life && s.model.reachable())
+    if (phase == EndpointPhase::gone && s.life != life && s.model.is_reachable())
       return;  // it is back
     s.listed.phase = phase, s.listed.zone = wrong_zone.value_or(s.zone);
     const auto revision = ++revision_;
@@ -637,7 +639,7 @@
           agenda_.now() + list_late_ +
               scaled(discovery_dice_.seconds_in(scenario_.discovery.spread_ms), 1e-3));
       nodes_[n].told_at = when;
-      if (list_late_ > Duration{}) effects_.touched(FaultKind::list_late);
+      if (list_late_ > Duration{}) effects_.record(FaultKind::list_late);
       agenda_.at(when, [this, n, e = s.listed, revision] {
         nodes_[n].list.revision = revision;
         tell(n, {e});
@@ -650,17 +652,17 @@
           const auto it = nodes_[n].list.entries.find(server);
           const bool knows = it == nodes_[n].list.entries.end() || it->second.phase == phase;
           if (!knows && nodes_[n].life != Life::down)
-            see(ServerTold{n, EndpointId(server), phase, false});
+            see(ServerAnnounced{n, EndpointId(server), phase, false});
         });
     }
   });
 }
 
-bool World::talks_with_discovery(std::uint32_t node) const {
-  return network_.talk(node_party(node), kDiscovery);
+bool Simulation::talks_with_discovery(std::uint32_t node) const {
+  return network_.connected(node_party(node), kDiscovery);
 }
 
-void World::tell(std::uint32_t node, std::vector<Entry> changes) {
+void Simulation::tell(std::uint32_t node, std::vector<Entry> changes) {
   auto& n = nodes_[node];
   if (!talks_with_discovery(node)) {
     n.held_back.insert(n.held_back.end(), changes.begin(), changes.end());
@@ -669,46 +671,45 @@
   write_list(node, std::move(changes));
 }
 
-void World::write_list(std::uint32_t node, std::vector<Entry> changes) {
+void Simulation::write_list(std::uint32_t node, std::vector<Entry> changes) {
   auto& n = nodes_[node];
   for (const auto& e : changes) {
     if (e.phase == EndpointPhase::gone)
       n.list.entries.erase(e.server);
     else
       n.list.entries.insert_or_assign(e.server, e);
-    if (n.life != Life::down) see(ServerTold{node, EndpointId(e.server), e.phase, false});
+    if (n.life != Life::down) see(ServerAnnounced{node, EndpointId(e.server), e.phase, false});
   }
   carrier_.list_changed(node, changes, n.list.revision);
 }
 
 // ---- Counter and peers --------------------------------------------------------------------------
 
-Duration World::counter_way(std::uint32_t node) {
+Duration Simulation::counter_way(std::uint32_t node) {
   const auto& zones = scenario_.fleet.zones;
   const auto at = std::ranges::find(zones, scenario_.counter.zone) - zones.begin();
-  return network_.way(zone_of_node(node), static_cast<std::uint32_t>(at));
+  return network_.one_way_delay(zone_of_node(node), static_cast<std::uint32_t>(at));
 }
 
-Connect World::counter_would_connect(std::uint32_t node) const {
-  if (!network_.talk(node_party(node), kCounter))
+Connect Simulation::counter_would_connect(std::uint32_t node) const {
+  if (!network_.connected(node_party(node), kCounter))
     return network_.resets(node_party(node), kCounter) ? Connect::refused : Connect::silent;
   if (counter_.mode() == Counter::Mode::silent) return Connect::silent;
   return counter_.mode() == Counter::Mode::refusing ? Connect::refused : Connect::up;
 }
 
-void World::call(std::uint32_t node, const Counter::Call& call,
-                 std::function<void(const Counter::Answer&)> told) {
+void Simulation::call(std::uint32_t node, const Counter::Call& call,
+                      std::function<void(const Counter::Answer&)> told) {
   if (!network_.passes(node_party(node), kCounter)) {
     see(CounterCalled{node, false, {}});
     return;
   }
   agenda_.after(counter_way(node), [this, node, call, told = std::move(told)] {
     const auto answer = counter_.call(agenda_.now(), call);
-    effects_.touched(FaultKind::counter_slow);
-    if (answer.kind == Counter::Answer::Kind::none) effects_.touched(FaultKind::counter_silent);
-    if (answer.kind == Counter::Answer::Kind::refused)
-      effects_.touched(FaultKind::counter_refusing);
-    if (answer.kind == Counter::Answer::Kind::spoilt) effects_.touched(FaultKind::counter_spoilt);
+    effects_.record(FaultKind::counter_slow);
+    if (answer.kind == Counter::Answer::Kind::none) effects_.record(FaultKind::counter_silent);
+    if (answer.kind == Counter::Answer::Kind::refused) effects_.record(FaultKind::counter_refusing);
+    if (answer.kind == Counter::Answer::Kind::malformed) effects_.record(FaultKind::counter_spoilt);
     const bool comes = answer.kind != Counter::Answer::Kind::none;
     // One that is late counts as mute: its caller no longer waits.
     const bool in_time = answer.at - agenda_.now() <
@@ -724,7 +725,7 @@
   });
 }
 
-void World::datagram(std::uint32_t from, std::uint32_t to, std::string payload) {
+void Simulation::datagram(std::uint32_t from, std::uint32_t to, std::string payload) {
   const auto bytes = static_cast<std::uint32_t>(payload.size());
   const bool passes = to < nodes_.size() && !peer_network_.too_long(bytes) &&
                       network_.passes(node_party(from), node_party(to));
@@ -732,7 +733,7 @@
   if (arrivals.empty()) see(Datagram{from, to, bytes, false});
   for (const Time when : arrivals)
     agenda_.at(when, [this, from, to, bytes, payload] {
-      const bool taken = nodes_[to].life != Life::down && peer_network_.take(agenda_.now(), to);
+      const bool taken = nodes_[to].life != Life::down && peer_network_.receive(agenda_.now(), to);
       see(Datagram{from, to, bytes, taken});
       if (taken) carrier_.datagram(from, to, payload);
     });
@@ -740,8 +741,8 @@
 
 // ---- What goes wrong ----------------------------------------------------------------------------
 
-std::vector<std::uint32_t> World::pick(const Selector& s, std::size_t of,
-                                       std::uint64_t number) const {
+std::vector<std::uint32_t> Simulation::pick(const Selector& s, std::size_t of,
+                                            std::uint64_t number) const {
   std::vector<std::uint32_t> all(of);
   std::iota(all.begin(), all.end(), 0U);
   const auto zone_of = [&](std::uint32_t n) {
@@ -765,7 +766,8 @@
   return all;
 }
 
-std::set<Party> World::parties(const std::vector<Selector>& selectors, std::uint64_t number) const {
+std::set<Party> Simulation::parties(const std::vector<Selector>& selectors,
+                                    std::uint64_t number) const {
   std::set<Party> found;
   for (const auto& s : selectors) switch (s.kind) {
       case Selector::Kind::nodes:
@@ -781,8 +783,8 @@
   return found;
 }
 
-std::vector<std::uint32_t> World::chosen(const Fault& f, Selector::Kind kind,
-                                         std::uint64_t number) const {
+std::vector<std::uint32_t> Simulation::chosen(const Fault& f, Selector::Kind kind,
+                                              std::uint64_t number) const {
   std::vector<std::uint32_t> found;
   for (const auto& s : f.who)
     if (s.kind == kind)
@@ -792,11 +794,11 @@
   return found;
 }
 
-void World::schedule(const Fault& f, std::uint64_t number) {
+void Simulation::schedule(const Fault& f, std::uint64_t number) {
   agenda_.at(began_at_ + from_seconds(f.at), [this, f, number] { strike(f, number); });
 }
 
-void World::replace(const std::vector<std::uint32_t>& servers, Duration over) {
+void Simulation::replace(const std::vector<std::uint32_t>& servers, Duration over) {
   for (std::size_t i = 0; i < servers.size(); ++i) {
     const auto wait = scaled(over, static_cast<double>(i) / static_cast<double>(servers.size()));
     agenda_.after(wait, [this, server = servers[i]] {
@@ -816,16 +818,16 @@
   }
 }
 
-void World::slow_server(std::uint32_t server, double factor) {
+void Simulation::slow_server(std::uint32_t server, double factor) {
   run_server(server);
-  servers_[server].model.slow(factor);
+  servers_[server].model.set_slowdown(factor);
   servers_[server].slowed = factor > 1;
   wake(server);
 }
 
-void World::strike(const Fault& f, std::uint64_t number) {
+void Simulation::strike(const Fault& f, std::uint64_t number) {
   const auto text = text_of(f);
-  const auto lasts = from_seconds(f.lasts);
+  const auto lasts = from_seconds(f.duration_s);
   std::function<void()> undo;
   const auto nodes = chosen(f, Selector::Kind::nodes, number);
   const auto servers = chosen(f, Selector::Kind::servers, number);
@@ -836,7 +838,7 @@
   const auto vanish = [&](const std::vector<std::uint32_t>& which) {
     for (const auto s : which) {
       if (servers_[s].model.phase() == PriceServer::Phase::serving) effects_.add(number);
-      lose_server(s, PriceServer::Phase::vanished);
+      lose_server(s, PriceServer::Phase::unresponsive);
       list(s, EndpointPhase::gone, discovery_dice_.seconds_in(scenario_.discovery.silent_notice_s));
     }
     return [this, which] {
@@ -847,15 +849,15 @@
     };
   };
   const auto silence = [&](Counter::Mode mode) {
-    counter_.set(agenda_.now(), mode);
+    counter_.set_mode(agenda_.now(), mode);
     carrier_.network_changed();
     return [this, empty = f.empty] {
-      if (empty) counter_.lose_numbers(agenda_.now()), see(CounterLost{});
-      counter_.set(agenda_.now(), Counter::Mode::serving);
+      if (empty) counter_.reset(agenda_.now()), see(CounterReset{});
+      counter_.set_mode(agenda_.now(), Counter::Mode::serving);
       carrier_.network_changed();
     };
   };
-  see(FaultBegan{text});
+  see(FaultStarted{text});
   effects_.begin(number);
   const auto up = static_cast<std::uint64_t>(
       std::ranges::count_if(nodes, [&](auto n) { return nodes_[n].life == Life::up; }));
@@ -867,7 +869,7 @@
         carrier_.kill_node(n);
         down(n, false);
       }
-      if (f.lasts > 0)
+      if (f.duration_s > 0)
         undo = [this, nodes] {
           for (const auto n : nodes)
             if (nodes_[n].life == Life::down) start(n);
@@ -899,8 +901,8 @@
         });
       break;
     case FaultKind::cut: {
-      const auto cut = network_.cut({parties(f.who, number), parties(f.from, number), f.way != "in",
-                                     f.way != "out", f.connects == "reset"});
+      const auto cut = network_.partition({parties(f.who, number), parties(f.from, number),
+                                           f.way != "in", f.way != "out", f.connects == "reset"});
       carrier_.network_changed();
       undo = [this, cut] {
         network_.heal(cut);
@@ -912,19 +914,19 @@
       break;
     }
     case FaultKind::counter_slow:
-      counter_.slow(f.factor);
-      undo = [this] { counter_.slow(1); };
+      counter_.set_slowdown(f.factor);
+      undo = [this] { counter_.set_slowdown(1); };
       break;
     case FaultKind::counter_silent: undo = silence(Counter::Mode::silent); break;
     case FaultKind::counter_refusing: undo = silence(Counter::Mode::refusing); break;
     case FaultKind::counter_empty:
       effects_.add(number);
-      counter_.lose_numbers(agenda_.now());
-      see(CounterLost{});
+      counter_.reset(agenda_.now());
+      see(CounterReset{});
       break;
     case FaultKind::counter_spoilt:
-      counter_.spoil(f.share);
-      undo = [this] { counter_.spoil(0); };
+      counter_.set_malformed_share(f.share);
+      undo = [this] { counter_.set_malformed_share(0); };
       break;
     case FaultKind::zone_lost: {
       Selector in_zone{Selector::Kind::servers, Selector::Pick::zone, 0, 0, 0, f.zone};
@@ -979,11 +981,11 @@
       break;
     }
     case FaultKind::peers_lossy:
-      peer_network_.lose(f.share);
-      undo = [this] { peer_network_.lose(0); };
+      peer_network_.set_extra_loss(f.share);
+      undo = [this] { peer_network_.set_extra_loss(0); };
       break;
   }
-  if (f.lasts <= 0) return effects_.end(number);
+  if (f.duration_s <= 0) return effects_.end(number);
   agenda_.after(lasts, [this, undo, text, number] {
     if (undo) undo();
     effects_.end(number);
--- a/src/world/world.hpp
+++ b/src/world/simulation.hpp
@@ -12,18 +12,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "agenda.hpp"
 #include "counter.hpp"
+#include "event_queue.hpp"
 #include "fault_effects.hpp"
 #include "network.hpp"
+#include "observations.hpp"
 #include "peers.hpp"
 #include "price_server.hpp"
-#include "seen.hpp"
 
 namespace petrelrail::world {
 
-struct Try {  // a client's request on its way to a node
-  TryId id{}, root{};
+struct ClientAttempt {  // a client's request on its way to a node
+  ClientAttemptId id{}, root{};
   std::uint32_t node = 0, plan = 0, number = 0;  // number: 0 for the first try
   CustomerId customer{};
   std::size_t asker = 0;  // the customer's place in the world's table
@@ -46,9 +46,9 @@
 enum class Connect { up, refused, silent };
 
 // How the world reaches the nodes.
-class Carrier {
+class Runtime {
  public:
-  virtual ~Carrier() = default;
+  virtual ~Runtime() = default;
   virtual void start_node(std::uint32_t node) = 0;  // World::node_ready() follows
   virtual void kill_node(std::uint32_t node) = 0;   // at once
   virtual void term_node(std::uint32_t node) = 0;   // World::node_ended() follows
@@ -58,8 +58,8 @@
   // Whether clients have a connection to it that carries no request.
   virtual bool has_idle_connection(std::uint32_t) const { return false; }
   virtual void submit(
-      const Try& t) = 0;             // one of the calls under "what came of a try" follows, or none
-  virtual void leave(TryId id) = 0;  // the client closes its connection
+      const ClientAttempt& t) = 0;  // one of the calls under "what came of a try" follows, or none
+  virtual void leave(ClientAttemptId id) = 0;  // the client closes its connection
   virtual void answer(AttemptNumber attempt, ServerAnswer answer) = 0;
   virtual void server_added(std::uint32_t server) = 0;
   virtual void reset_connections(std::uint32_t server) = 0;
@@ -69,10 +69,10 @@
   virtual void datagram(std::uint32_t from, std::uint32_t to, std::string_view payload) = 0;
 };
 
-class World {
+class Simulation {
  public:
-  World(const Scenario& scenario, std::uint64_t seed, Agenda& agenda, Carrier& carrier,
-        std::function<void(Time, const Seen&)> watcher);
+  Simulation(const Scenario& scenario, std::uint64_t seed, EventQueue& agenda, Runtime& carrier,
+             std::function<void(Time, const Observation&)> watcher);
 
   // Starts all nodes. Clients begin when all are ready, or after `patience`.
   void begin(Duration patience);
@@ -87,16 +87,17 @@
   // ---- From the nodes, by way of the carrier ----------------------------------------------------
   void node_ready(std::uint32_t node);
   void node_ended(std::uint32_t node);  // its process is gone, by itself or as it was told
-  void taken(TryId id);
+  void taken(ClientAttemptId id);
   // What came of a try.
-  void answered(TryId id, Verdict verdict, Duration retry_after, bool genuine);
-  void broken(TryId id, bool first_on_connection);
-  void unreachable(TryId id);
+  void answered(ClientAttemptId id, Verdict verdict, Duration retry_after, bool genuine);
+  void broken(ClientAttemptId id, bool first_on_connection);
+  void unreachable(ClientAttemptId id);
   // A connection that a node opens to a price server.
   Connect connect(std::uint32_t node, std::uint32_t server);
   void closed(std::uint32_t node, std::uint32_t server);
   // A request that has come whole at a price server; `none` where nobody took it in.
-  AttemptNumber attempt(std::uint32_t node, std::uint32_t server, TryId id, Time first_byte);
+  AttemptNumber attempt(std::uint32_t node, std::uint32_t server, ClientAttemptId id,
+                        Time first_byte);
   void attempt_left(AttemptNumber attempt);
   // `told` is called when the answer reaches the node's machine; not at all where none does.
   void call(std::uint32_t node, const Counter::Call& call,
@@ -120,14 +121,14 @@
   bool passes(Party from, Party to) const { return network_.passes(from, to); }
   Duration way(std::uint32_t node, std::uint32_t server);  // one way, drawn
   Duration counter_way(std::uint32_t node);
-  Duration client_way() { return network_.client_way(); }
+  Duration client_way() { return network_.client_delay(); }
   Duration handshake(std::uint32_t node, std::uint32_t server);
-  const Try* find(TryId id) const;
+  const ClientAttempt* find(ClientAttemptId id) const;
   // The same, while its client waits; null too once that has gone.
-  const Try* find_waiting(TryId id) const;
+  const ClientAttempt* find_waiting(ClientAttemptId id) const;
   // By fault of the scenario, what it has touched so far.
   const std::vector<std::uint64_t>& fault_effects() const { return effects_.counts(); }
-  Agenda& agenda() { return agenda_; }
+  EventQueue& agenda() { return agenda_; }
   const Scenario& scenario() const { return scenario_; }
 
  private:
@@ -154,13 +155,13 @@
     bool slowed = false;
   };
   struct OpenTry {
-    Try t;
+    ClientAttempt t;
     bool ended = false, retried = false;
     bool swallowed = false;  // its answer, by a cut
   };
   struct Attempt {
     std::uint32_t node = 0, server = 0;
-    TryId id{};
+    ClientAttemptId id{};
     JobId job{};
   };
   struct Customer {
@@ -169,13 +170,13 @@
     double rate = 0;   // requests a second
     double spike = 1;  // factor of a spike; 1: it has none
     Duration spike_for{}, spike_every{}, spike_phase{};
-    Dice dice;
+    RandomStreams dice;
     bool honours = true;
     std::vector<double> weights{};  // over its set
     std::int64_t shift = -1;        // the period the weights are of
   };
 
-  void see(const Seen& s) { watcher_(agenda_.now(), s); }
+  void see(const Observation& s) { watcher_(agenda_.now(), s); }
   void make_servers();
   std::uint32_t add_server(std::uint32_t zone, std::uint32_t cell);
   void make_customers();
@@ -183,13 +184,13 @@
   void next_arrival(std::size_t customer);
   double rate_now(const Customer& c, Time at) const;
   std::optional<std::uint32_t> pick_node(Customer& c);
-  std::uint32_t pick_plan(const Customer& c, TryId id) const;
+  std::uint32_t pick_plan(const Customer& c, ClientAttemptId id) const;
   bool takes_requests(std::uint32_t node) const;
-  void ask(std::size_t customer, const Try* before);
-  void leave(TryId id);
-  void time_up(TryId id);
+  void ask(std::size_t customer, const ClientAttempt* before);
+  void leave(ClientAttemptId id);
+  void time_up(ClientAttemptId id);
   void retry(OpenTry& o, Duration advice);
-  void forget(TryId id);
+  void forget(ClientAttemptId id);
 
   void start_server(std::uint32_t server, bool cold);
   void lose_server(std::uint32_t server, PriceServer::Phase as);
@@ -216,19 +217,19 @@
   void slow_server(std::uint32_t server, double factor);
 
   Scenario scenario_;
-  Dice dice_;
-  Agenda& agenda_;
-  Carrier& carrier_;
-  std::function<void(Time, const Seen&)> watcher_;
+  RandomStreams dice_;
+  EventQueue& agenda_;
+  Runtime& carrier_;
+  std::function<void(Time, const Observation&)> watcher_;
   std::vector<Plan> plans_;
   Network network_;
   PeerNetwork peer_network_;
   Counter counter_;
-  Dice works_, clients_, discovery_dice_;
+  RandomStreams works_, clients_, discovery_dice_;
   std::vector<Node> nodes_;
   std::vector<Server> servers_;
   std::vector<Customer> customers_;
-  std::unordered_map<TryId, OpenTry> tries_;
+  std::unordered_map<ClientAttemptId, OpenTry> tries_;
   std::unordered_map<AttemptNumber, Attempt> attempts_;
   std::uint64_t last_try_ = 0, last_attempt_ = 0;
   std::int64_t revision_ = 0;
--- a/tests/jobs_process_test.cpp
+++ b/tests/jobs_process_test.cpp
@@ -148,11 +148,11 @@
 TEST_F(JobsOnProcesses, ASilentCounterPausesAndAnEmptiedOneBreaksNothing) {
   tier.lose(0.05), tier.repeat(0.05);
   const auto id = running(150);
-  tier.counter().lose_numbers(tier.now());
+  tier.counter().reset(tier.now());
   ASSERT_TRUE(tier.until([&] { return tier.runs.size() >= 60; }));
-  tier.counter().set(tier.now(), world::Counter::Mode::silent);
+  tier.counter().set_mode(tier.now(), world::Counter::Mode::silent);
   ASSERT_TRUE(tier.until([&] { return tier.held("jobs/") == 0; }));
-  tier.counter().set(tier.now(), world::Counter::Mode::serving);
+  tier.counter().set_mode(tier.now(), world::Counter::Mode::serving);
   all_served(fetch_all(id, 150), 150);
 }
 // SIGTERM gives the job on at once.
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -87,7 +87,7 @@
   EXPECT_EQ(s.fleet.nodes, 3U);
   EXPECT_EQ(s.faults.at(0).at, 7);
   EXPECT_EQ(s.counter.zone, "b");
-  EXPECT_EQ(s.servers.speed.most, 2);
+  EXPECT_EQ(s.servers.speed.max, 2);
   EXPECT_NE(message("", {"nodes"}).find("KEY=VALUE"), std::string::npos);
   EXPECT_NE(message("", {"fault.0.at=7"}).find("fault"), std::string::npos);
   EXPECT_NE(message("", {"fleet.nods=7"}).find("fleet.nods: there is no such key here"),
@@ -185,15 +185,15 @@
 // A client may come to a restarted node before the front takes it in again: what the node was
 // started with counts as told.
 TEST(World, ANodeIsToldItsListWithItsConfigurationAndNotWhenItIsReady) {
-  struct Still final : world::Carrier {  // starts nodes, and no more
+  struct Still final : world::Runtime {  // starts nodes, and no more
     void start_node(std::uint32_t) override {}
     void kill_node(std::uint32_t) override {}
     void term_node(std::uint32_t) override {}
     void stall_node(std::uint32_t, bool) override {}
     void reload_node(std::uint32_t, const world::Fault&) override {}
     void upgrade_node(std::uint32_t) override {}
-    void submit(const world::Try&) override {}
-    void leave(world::TryId) override {}
+    void submit(const world::ClientAttempt&) override {}
+    void leave(world::ClientAttemptId) override {}
     void answer(world::AttemptNumber, world::ServerAnswer) override {}
     void server_added(std::uint32_t) override {}
     void reset_connections(std::uint32_t) override {}
@@ -202,11 +202,11 @@
     void datagram(std::uint32_t, std::uint32_t, std::string_view) override {}
   };
   const auto scenario = parse_scenario("[fleet]\nnodes = 3\n[servers]\ncount = 4", "s.toml");
-  world::Agenda agenda(Time(std::chrono::seconds(1)));
+  world::EventQueue agenda(Time(std::chrono::seconds(1)));
   Still carrier;
   int told = 0;
-  world::World world(scenario, 1, agenda, carrier, [&](Time, const world::Seen& s) {
-    told += std::holds_alternative<world::ServerTold>(s);
+  world::Simulation world(scenario, 1, agenda, carrier, [&](Time, const world::Observation& s) {
+    told += std::holds_alternative<world::ServerAnnounced>(s);
   });
   world.begin(std::chrono::seconds(30));
   EXPECT_EQ(told, 3 * 4);
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -453,7 +453,7 @@
     o.peers.loss = 0.1, o.peers.duplicate = 0.1, o.peers.reorder = 0.2;
     MemberFleet f(o);
     f.start_all();
-    world::Dice dice(seed);
+    world::RandomStreams dice(seed);
     std::map<std::pair<std::uint32_t, std::uint32_t>, std::uint64_t> keys;
     std::vector<std::uint64_t> lives(16);
     for (int step = 0; step < 3400; ++step) {
@@ -464,7 +464,7 @@
         case 1: f.start(n), ++lives[n]; break;
         case 2: f.stall(n, true); break;
         case 3: f.leave(n); break;
-        case 4: f.lose(dice.part() / 2); break;
+        case 4: f.lose(dice.uniform() / 2); break;
         case 5: f.cut([n](auto a, auto b) { return (a < n) != (b < n); }); break;
         case 6: f.cut([n](auto a, auto b) { return a < n && b >= n; }); break;
         case 7: f.cut({}); break;
--- a/tests/process_cluster_fixture.hpp
+++ b/tests/process_cluster_fixture.hpp
@@ -35,10 +35,10 @@
   Tier(std::uint32_t nodes, std::string members, int classes_effect_safe = 1)
       : count(nodes),
         members_(std::move(members)),
-        counter_({.calls_per_s = 2000}, world::Dice(7)) {
+        counter_({.calls_per_s = 2000}, world::RandomStreams(7)) {
     std::string name = (std::filesystem::temp_directory_path() / "petrelrail-tier-XXXXXX").string();
     dir = mkdtemp(name.data());
-    counter_.set(now(), world::Counter::Mode::serving);
+    counter_.set_mode(now(), world::Counter::Mode::serving);
     for (std::uint32_t i = 0; i < count; ++i) {
       nodes_.push_back(std::make_unique<Node>(*this, i));
       cut_.emplace_back(count, false);
@@ -313,12 +313,12 @@
 
   void count_up(Wire& w, const std::string& line) {
     if (line == "ping") return w.send("pong\r\n");
-    const auto call = world::Counter::read(line);
+    const auto call = world::Counter::parse(line);
     if (!call) return w.send("error\r\n");
     const auto a = counter_.call(now(), *call);
     if (a.kind == world::Counter::Answer::Kind::none) return;
     if (a.kind == world::Counter::Answer::Kind::refused) return w.reset();
-    w.send(world::Counter::written(a) + "\r\n");
+    w.send(world::Counter::format(a) + "\r\n");
   }
 
   void serve(std::uint32_t node, Wire& w, const std::string& m) {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,5 @@
-// The rule checker is seen to fail: each rule against a trace that breaks it, and against its twin
-// that does not.
+// Each invariant of the checker against a trace that violates it, and against a similar trace that
+// does not.
 #include "world/rules.hpp"
 
 #include <gtest/gtest.h>
@@ -11,230 +11,249 @@
 
 constexpr Time kNow{1000s};
 
-struct RulesTest : ::testing::Test {
-  RuleTerms terms;
+struct InvariantCheckerTest : ::testing::Test {
+  InvariantConfig config;
   std::uint64_t attempts = 0;
 
-  RulesTest() {
+  InvariantCheckerTest() {
     Plan p;
     p.name = "p", p.rate = 2, p.burst = 6;
-    terms.plans = {p};
+    config.plans = {p};
   }
-  // What the checker has against a trace, as "rule;rule".
-  std::string broken(const std::vector<std::pair<Duration, Seen>>& trace) {
-    Rules rules(terms);
+  // The rules that a trace violates, as "rule;rule".
+  std::string violated_rules(const std::vector<std::pair<Duration, Observation>>& trace) {
+    InvariantChecker checker(config);
     Duration last{};
-    for (const auto& [at, s] : trace) rules.saw(kNow + at, s), last = std::max(last, at);
-    rules.pass(kNow + last + 60s);
+    for (const auto& [at, s] : trace) checker.observe(kNow + at, s), last = std::max(last, at);
+    checker.check_expired(kNow + last + 60s);
     std::string text;
-    for (const auto& b : rules.breaches()) text += (text.empty() ? "" : ";") + b.rule;
+    for (const auto& b : checker.violations()) text += (text.empty() ? "" : ";") + b.rule;
     return text;
   }
-  static Seen sent(std::uint64_t id, Duration at = 0s, std::uint64_t customer = 1) {
-    return TrySent{TryId(id), 0,        CustomerId(customer), 0, 1, 1, kNow + at + 2s,
-                   TryId(id), kNow + at};
+  static Observation sent(std::uint64_t id, Duration at = 0s, std::uint64_t customer = 1) {
+    return ClientAttemptSent{
+        ClientAttemptId(id), 0,        CustomerId(customer), 0, 1, 1, kNow + at + 2s,
+        ClientAttemptId(id), kNow + at};
   }
-  static Seen taken(std::uint64_t id) { return TryTaken{TryId(id)}; }
-  static Seen answered(std::uint64_t id, Verdict v = Verdict::served, bool genuine = true) {
-    return TryAnswered{TryId(id), v, genuine};
+  static Observation received(std::uint64_t id) {
+    return ClientAttemptReceived{ClientAttemptId(id)};
   }
-  static Seen told(std::uint32_t server, EndpointPhase phase = EndpointPhase::ready) {
-    return ServerTold{0, EndpointId(server), phase, false};
+  static Observation answered(std::uint64_t id, Verdict v = Verdict::served, bool genuine = true) {
+    return ClientAttemptAnswered{ClientAttemptId(id), v, genuine};
   }
-  Seen arrived(std::uint64_t id, Duration at, std::uint32_t server = 1) {
-    return AttemptArrived{TryId(id), 0, EndpointId(server), kNow + at, ++attempts};
+  static Observation announced(std::uint32_t server, EndpointPhase phase = EndpointPhase::ready) {
+    return ServerAnnounced{0, EndpointId(server), phase, false};
+  }
+  Observation arrived(std::uint64_t id, Duration at, std::uint32_t server = 1) {
+    return AttemptArrived{ClientAttemptId(id), 0, EndpointId(server), kNow + at, ++attempts};
   }
 };
 
-TEST_F(RulesTest, AServedRequestBreaksNone) {
-  EXPECT_EQ(broken({{0s, told(1)},
-                    {0s, sent(1)},
-                    {1ms, taken(1)},
-                    {2ms, arrived(1, 2ms)},
-                    {3ms, answered(1)}}),
+TEST_F(InvariantCheckerTest, AServedRequestViolatesNoRule) {
+  EXPECT_EQ(violated_rules({{0s, announced(1)},
+                            {0s, sent(1)},
+                            {1ms, received(1)},
+                            {2ms, arrived(1, 2ms)},
+                            {3ms, answered(1)}}),
             "");
 }
-TEST_F(RulesTest, ASecondAnswer) {
-  EXPECT_EQ(broken({{0s, told(1)},
-                    {0s, sent(1)},
-                    {1ms, taken(1)},
-                    {2ms, arrived(1, 2ms)},
-                    {3ms, answered(1)},
-                    {4ms, answered(1, Verdict::refused)}}),
+TEST_F(InvariantCheckerTest, ASecondAnswerViolatesOneFinalAnswer) {
+  EXPECT_EQ(violated_rules({{0s, announced(1)},
+                            {0s, sent(1)},
+                            {1ms, received(1)},
+                            {2ms, arrived(1, 2ms)},
+                            {3ms, answered(1)},
+                            {4ms, answered(1, Verdict::refused)}}),
             "one final answer");
 }
-TEST_F(RulesTest, NoAnswerAtAll) {
-  EXPECT_EQ(broken({{0s, sent(1)}, {1ms, taken(1)}}), "one final answer");
-  EXPECT_EQ(broken({{0s, sent(1)}}), "");  // it never came to the node
+TEST_F(InvariantCheckerTest, AMissingAnswerViolatesOneFinalAnswer) {
+  EXPECT_EQ(violated_rules({{0s, sent(1)}, {1ms, received(1)}}), "one final answer");
+  EXPECT_EQ(violated_rules({{0s, sent(1)}}), "");  // it did not reach the node
 }
-TEST_F(RulesTest, AnAnswerHalfASecondBeyondItsTimeIsLateAndLaterIsLost) {
-  EXPECT_EQ(broken({{0s, sent(1)}, {1ms, taken(1)}, {2400ms, answered(1, Verdict::failed)}}), "");
-  EXPECT_EQ(broken({{0s, sent(1)}, {1ms, taken(1)}, {2500ms, TryLeft{TryId(1)}}}),
+TEST_F(InvariantCheckerTest, AnAnswerWithinHalfASecondOfTheDeadlineIsLateAndALaterOneIsLost) {
+  EXPECT_EQ(
+      violated_rules({{0s, sent(1)}, {1ms, received(1)}, {2400ms, answered(1, Verdict::failed)}}),
+      "");
+  EXPECT_EQ(violated_rules({{0s, sent(1)},
+                            {1ms, received(1)},
+                            {2500ms, ClientAttemptAbandoned{ClientAttemptId(1)}}}),
             "one final answer");
 }
-TEST_F(RulesTest, AConnectionEndedWithoutAnAnswerLosesTheRequestButNotTheFirstOnIt) {
-  EXPECT_EQ(broken({{0s, sent(1)}, {1ms, taken(1)}, {9ms, TryBroken{TryId(1), false}}}),
+TEST_F(InvariantCheckerTest, AConnectionClosedWithoutAnAnswerLosesTheRequestUnlessItIsTheFirst) {
+  EXPECT_EQ(violated_rules({{0s, sent(1)},
+                            {1ms, received(1)},
+                            {9ms, ClientAttemptBroken{ClientAttemptId(1), false}}}),
             "one final answer");
-  EXPECT_EQ(broken({{0s, sent(1)}, {1ms, taken(1)}, {9ms, TryBroken{TryId(1), true}}}), "");
+  EXPECT_EQ(violated_rules({{0s, sent(1)},
+                            {1ms, received(1)},
+                            {9ms, ClientAttemptBroken{ClientAttemptId(1), true}}}),
+            "");
 }
-// What was sent on had been read: then the first one on its connection is lost too.
-TEST_F(RulesTest, AConnectionEndedAfterItsRequestWasSentOnLosesItThoughItIsTheFirst) {
-  EXPECT_EQ(broken({{0s, told(1)},
-                    {0s, sent(1)},
-                    {1ms, taken(1)},
-                    {2ms, arrived(1, 2ms)},
-                    {9ms, TryBroken{TryId(1), true}}}),
+// A forwarded request had been read, so it counts as lost even if it is the first on its
+// connection.
+TEST_F(InvariantCheckerTest, AConnectionClosedAfterForwardingLosesEvenTheFirstRequest) {
+  EXPECT_EQ(violated_rules({{0s, announced(1)},
+                            {0s, sent(1)},
+                            {1ms, received(1)},
+                            {2ms, arrived(1, 2ms)},
+                            {9ms, ClientAttemptBroken{ClientAttemptId(1), true}}}),
             "one final answer");
 }
-TEST_F(RulesTest, AnAttemptThatBeginsAfterItsClientHasLeft) {
-  const auto sent_on = [&](Duration at) {
-    return broken({{0s, told(1)},
-                   {0s, sent(1)},
-                   {1ms, taken(1)},
-                   {5ms, TryLeft{TryId(1), true}},
-                   {at, arrived(1, at)}});
+TEST_F(InvariantCheckerTest, AnAttemptStartedAfterItsClientDisconnectedIsAViolation) {
+  const auto forwarded_at = [&](Duration at) {
+    return violated_rules({{0s, announced(1)},
+                           {0s, sent(1)},
+                           {1ms, received(1)},
+                           {5ms, ClientAttemptAbandoned{ClientAttemptId(1), true}},
+                           {at, arrived(1, at)}});
   };
-  EXPECT_EQ(sent_on(150ms), "");
-  EXPECT_EQ(sent_on(160ms), "one final answer");
+  EXPECT_EQ(forwarded_at(150ms), "");
+  EXPECT_EQ(forwarded_at(160ms), "one final answer");
 }
-// The judge reads what came before a kill only after it: of requests that were sent before.
-TEST_F(RulesTest, WhatIsReadAMomentAfterAKillIsOfTheFormerLife) {
+// Data sent before a kill may be read only after it: the requests were sent before the kill.
+TEST_F(InvariantCheckerTest, DataReadRightAfterAKillBelongsToTheFormerProcess) {
   const auto read_at = [&](Duration at) {
-    return broken({{0s, told(1)},
-                   {0s, sent(1)},
-                   {2ms, NodeDown{0, false}},
-                   {at, arrived(1, at)},
-                   {at, TryBroken{TryId(1), false}}});
+    return violated_rules({{0s, announced(1)},
+                           {0s, sent(1)},
+                           {2ms, NodeDown{0, false}},
+                           {at, arrived(1, at)},
+                           {at, ClientAttemptBroken{ClientAttemptId(1), false}}});
   };
   EXPECT_EQ(read_at(12ms), "");
   EXPECT_EQ(read_at(60ms), "listed servers");
 }
-TEST_F(RulesTest, WhatAKilledNodeHadIsNoBreachAndOneThatEndsByItselfIs) {
-  EXPECT_EQ(broken({{0s, sent(1)},
-                    {1ms, taken(1)},
-                    {2ms, NodeDown{0, false}},
-                    {3ms, TryBroken{TryId(1), false}}}),
+TEST_F(InvariantCheckerTest, RequestsOfAKilledNodeAreNoViolationAndACrashIs) {
+  EXPECT_EQ(violated_rules({{0s, sent(1)},
+                            {1ms, received(1)},
+                            {2ms, NodeDown{0, false}},
+                            {3ms, ClientAttemptBroken{ClientAttemptId(1), false}}}),
             "");
-  EXPECT_EQ(broken({{2ms, NodeDown{0, true}}}), "no crash");
+  EXPECT_EQ(violated_rules({{2ms, NodeDown{0, true}}}), "no crash");
 }
-TEST_F(RulesTest, AnAnswerThatNoServerMade) {
-  EXPECT_EQ(broken({{0s, told(1)},
-                    {0s, sent(1)},
-                    {1ms, taken(1)},
-                    {2ms, arrived(1, 2ms)},
-                    {3ms, answered(1, Verdict::served, false)}}),
+TEST_F(InvariantCheckerTest, AResponseThatNoServerSentIsAViolation) {
+  EXPECT_EQ(violated_rules({{0s, announced(1)},
+                            {0s, sent(1)},
+                            {1ms, received(1)},
+                            {2ms, arrived(1, 2ms)},
+                            {3ms, answered(1, Verdict::served, false)}}),
+            "one final answer");
+  EXPECT_EQ(violated_rules({{0s, sent(1)}, {1ms, received(1)}, {3ms, answered(1)}}),
             "one final answer");
-  EXPECT_EQ(broken({{0s, sent(1)}, {1ms, taken(1)}, {3ms, answered(1)}}), "one final answer");
 }
-TEST_F(RulesTest, ASendAfterTheDrainGrace) {
+TEST_F(InvariantCheckerTest, ForwardingAfterTheDrainGraceIsAViolation) {
   const auto trace = [&](Duration at) {
-    return std::vector<std::pair<Duration, Seen>>{{0s, told(1)},
-                                                  {100ms, told(1, EndpointPhase::draining)},
-                                                  {500ms, told(1, EndpointPhase::gone)},
-                                                  {at, sent(1, at)},
-                                                  {at, arrived(1, at)},
-                                                  {at, answered(1)}};
+    return std::vector<std::pair<Duration, Observation>>{
+        {0s, announced(1)},
+        {100ms, announced(1, EndpointPhase::draining)},
+        {500ms, announced(1, EndpointPhase::gone)},
+        {at, sent(1, at)},
+        {at, arrived(1, at)},
+        {at, answered(1)}};
   };
-  EXPECT_EQ(broken(trace(1100ms)), "");
-  EXPECT_EQ(broken(trace(1200ms)), "drains");
+  EXPECT_EQ(violated_rules(trace(1100ms)), "");
+  EXPECT_EQ(violated_rules(trace(1200ms)), "drains");
 }
-TEST_F(RulesTest, ASendToAServerThatNoListNamed) {
-  EXPECT_EQ(broken({{0s, told(1)}, {0s, sent(1)}, {2ms, arrived(1, 2ms, 2)}, {3ms, answered(1)}}),
+TEST_F(InvariantCheckerTest, ForwardingToAnUnlistedServerIsAViolation) {
+  EXPECT_EQ(violated_rules(
+                {{0s, announced(1)}, {0s, sent(1)}, {2ms, arrived(1, 2ms, 2)}, {3ms, answered(1)}}),
             "listed servers");
 }
-TEST_F(RulesTest, ASendAfterARestartOfTheNodeThatWasToldNothingYet) {
-  EXPECT_EQ(broken({{0s, told(1)},
-                    {1ms, NodeDown{0, false}},
-                    {2ms, sent(1)},
-                    {3ms, arrived(1, 3ms)},
-                    {4ms, answered(1)}}),
+TEST_F(InvariantCheckerTest, ForwardingAfterARestartBeforeTheListArrivesIsAViolation) {
+  EXPECT_EQ(violated_rules({{0s, announced(1)},
+                            {1ms, NodeDown{0, false}},
+                            {2ms, sent(1)},
+                            {3ms, arrived(1, 3ms)},
+                            {4ms, answered(1)}}),
             "listed servers");
 }
-TEST_F(RulesTest, ASendThatWasOnItsWayWhenItsNodeWasKilled) {
+TEST_F(InvariantCheckerTest, ARequestInFlightWhenItsNodeWasKilledIsNoViolation) {
   EXPECT_EQ(
-      broken({{0s, told(1)}, {0s, sent(1)}, {5ms, NodeDown{0, false}}, {6ms, arrived(1, 4ms)}}),
+      violated_rules(
+          {{0s, announced(1)}, {0s, sent(1)}, {5ms, NodeDown{0, false}}, {6ms, arrived(1, 4ms)}}),
       "");
 }
-TEST_F(RulesTest, ARequestThatNoClientSent) {
-  EXPECT_EQ(broken({{0s, told(1)}, {2ms, arrived(9, 2ms)}}), "duplicates");
+TEST_F(InvariantCheckerTest, ARequestThatNoClientSentIsAViolation) {
+  EXPECT_EQ(violated_rules({{0s, announced(1)}, {2ms, arrived(9, 2ms)}}), "duplicates");
 }
-TEST_F(RulesTest, MoreAttemptsThanAllowed) {
-  std::vector<std::pair<Duration, Seen>> trace{{0s, told(1)}, {0s, sent(1)}};
+TEST_F(InvariantCheckerTest, MoreAttemptsThanAllowedIsAViolation) {
+  std::vector<std::pair<Duration, Observation>> trace{{0s, announced(1)}, {0s, sent(1)}};
   for (int i = 0; i < 4; ++i) trace.emplace_back(1ms * i, arrived(1, 1ms * i));
   trace.emplace_back(9ms, answered(1));
-  EXPECT_EQ(broken(trace), "attempts");
+  EXPECT_EQ(violated_rules(trace), "attempts");
 }
-TEST_F(RulesTest, TwoCopiesAtOnceWhereThatIsForbidden) {
-  terms.second_copies = false;
-  EXPECT_EQ(broken({{0s, told(1)},
-                    {0s, sent(1)},
-                    {1ms, arrived(1, 1ms)},
-                    {2ms, arrived(1, 2ms)},
-                    {9ms, answered(1)}}),
+TEST_F(InvariantCheckerTest, ConcurrentCopiesAreAViolationWhereForbidden) {
+  config.second_copies = false;
+  EXPECT_EQ(violated_rules({{0s, announced(1)},
+                            {0s, sent(1)},
+                            {1ms, arrived(1, 1ms)},
+                            {2ms, arrived(1, 2ms)},
+                            {9ms, answered(1)}}),
             "duplicates");
   attempts = 0;
-  EXPECT_EQ(broken({{0s, told(1)},
-                    {0s, sent(1)},
-                    {1ms, arrived(1, 1ms)},
-                    {2ms, AttemptOver{TryId(1), 1, false}},
-                    {3ms, arrived(1, 2ms)},
-                    {9ms, answered(1)}}),
+  EXPECT_EQ(violated_rules({{0s, announced(1)},
+                            {0s, sent(1)},
+                            {1ms, arrived(1, 1ms)},
+                            {2ms, AttemptCompleted{ClientAttemptId(1), 1, false}},
+                            {3ms, arrived(1, 2ms)},
+                            {9ms, answered(1)}}),
             "");
 }
-TEST_F(RulesTest, AnUnsafeRequestAgainThoughItMayHaveRun) {
-  terms.effect = Idempotency::non_idempotent;
-  EXPECT_EQ(broken({{0s, told(1)},
-                    {0s, sent(1)},
-                    {1ms, arrived(1, 1ms)},
-                    {2ms, AttemptOver{TryId(1), 1, true}},
-                    {3ms, arrived(1, 3ms)},
-                    {9ms, answered(1)}}),
-            "");  // it surely did not run
+TEST_F(InvariantCheckerTest, RetryingANonIdempotentRequestThatMayHaveRunIsAViolation) {
+  config.idempotency = Idempotency::non_idempotent;
+  EXPECT_EQ(violated_rules({{0s, announced(1)},
+                            {0s, sent(1)},
+                            {1ms, arrived(1, 1ms)},
+                            {2ms, AttemptCompleted{ClientAttemptId(1), 1, true}},
+                            {3ms, arrived(1, 3ms)},
+                            {9ms, answered(1)}}),
+            "");  // it did not run
   attempts = 0;
-  EXPECT_EQ(broken({{0s, told(1)},
-                    {0s, sent(1)},
-                    {1ms, arrived(1, 1ms)},
-                    {2ms, AttemptOver{TryId(1), 1, false}},
-                    {3ms, arrived(1, 3ms)},
-                    {9ms, answered(1)}}),
+  EXPECT_EQ(violated_rules({{0s, announced(1)},
+                            {0s, sent(1)},
+                            {1ms, arrived(1, 1ms)},
+                            {2ms, AttemptCompleted{ClientAttemptId(1), 1, false}},
+                            {3ms, arrived(1, 3ms)},
+                            {9ms, answered(1)}}),
             "no double effects");
   attempts = 0;
-  EXPECT_EQ(broken({{0s, told(1)},
-                    {0s, sent(1)},
-                    {1ms, arrived(1, 1ms)},
-                    {2ms, AttemptOver{TryId(1), 1, false}},
-                    {9ms, answered(1, Verdict::refused)}}),
+  EXPECT_EQ(violated_rules({{0s, announced(1)},
+                            {0s, sent(1)},
+                            {1ms, arrived(1, 1ms)},
+                            {2ms, AttemptCompleted{ClientAttemptId(1), 1, false}},
+                            {9ms, answered(1, Verdict::refused)}}),
             "no double effects");
 }
-TEST_F(RulesTest, AKeyedRequestInAnotherZoneOrAfterTheMemory) {
-  terms.effect = Idempotency::idempotency_key, terms.group = DeduplicationScope::zone;
+TEST_F(InvariantCheckerTest,
+       RetryingAKeyedRequestOutsideItsDeduplicationScopeOrWindowIsAViolation) {
+  config.idempotency = Idempotency::idempotency_key,
+  config.deduplication_scope = DeduplicationScope::zone;
   const auto again = [&](Duration at, std::uint32_t server) {
     attempts = 0;
-    return broken({{0s, ServerStarted{EndpointId(1), 0, 0}},
-                   {0s, ServerStarted{EndpointId(2), 1, 0}},
-                   {0s, ServerStarted{EndpointId(3), 0, 1}},
-                   {0s, told(1)},
-                   {0s, told(2)},
-                   {0s, told(3)},
-                   {0s, sent(1)},
-                   {1ms, arrived(1, 1ms)},
-                   {2ms, AttemptOver{TryId(1), 1, false}},
-                   {at, arrived(1, at, server)},
-                   {at + 1ms, answered(1)}});
+    return violated_rules({{0s, ServerStarted{EndpointId(1), 0, 0}},
+                           {0s, ServerStarted{EndpointId(2), 1, 0}},
+                           {0s, ServerStarted{EndpointId(3), 0, 1}},
+                           {0s, announced(1)},
+                           {0s, announced(2)},
+                           {0s, announced(3)},
+                           {0s, sent(1)},
+                           {1ms, arrived(1, 1ms)},
+                           {2ms, AttemptCompleted{ClientAttemptId(1), 1, false}},
+                           {at, arrived(1, at, server)},
+                           {at + 1ms, answered(1)}});
   };
   EXPECT_EQ(again(3ms, 3), "");
   EXPECT_EQ(again(3ms, 2), "no double effects");
   EXPECT_EQ(again(5100ms, 3), "no double effects");
 }
-TEST_F(RulesTest, AColdServerPushedOverByNodesThatWereTold) {
-  EXPECT_EQ(broken({{0s, ServerFell{EndpointId(1), 0.5}}}), "");
-  EXPECT_EQ(broken({{0s, ServerFell{EndpointId(1), 0.7}}}), "cold starts");
+TEST_F(InvariantCheckerTest, OverloadingAColdServerByInformedNodesIsAViolation) {
+  EXPECT_EQ(violated_rules({{0s, ServerOverloadedCold{EndpointId(1), 0.5}}}), "");
+  EXPECT_EQ(violated_rules({{0s, ServerOverloadedCold{EndpointId(1), 0.7}}}), "cold starts");
 }
-// A node that passes everything: windows of 6 units and one request before it is leased, two of
-// them at once at most.
-TEST_F(RulesTest, ACustomerLetThroughWithoutALease) {
-  const auto passes = [&](int requests, Duration gap) {
-    std::vector<std::pair<Duration, Seen>> trace{{0s, told(1)}};
+// A node that admits everything. Each window admits 6 units and one request before it is leased; at
+// most two windows can be used at once.
+TEST_F(InvariantCheckerTest, AdmittingWithoutALeaseViolatesTheQuota) {
+  const auto admit = [&](int requests, Duration gap) {
+    std::vector<std::pair<Duration, Observation>> trace{{0s, announced(1)}};
     for (int i = 0; i < requests; ++i) {
       const auto id = static_cast<std::uint64_t>(i) + 1;
       trace.emplace_back(gap * i, sent(id, gap * i));
@@ -243,31 +262,31 @@
     }
     return trace;
   };
-  EXPECT_EQ(broken(passes(14, 0s)), "");
-  EXPECT_NE(broken(passes(30, 0s)).find("quotas"), std::string::npos);
-  EXPECT_EQ(broken(passes(100, 500ms)), "");
-  EXPECT_NE(broken(passes(100, 250ms)).find("quotas"), std::string::npos);
-  // When the counter has lost its numbers, what it gives out anew is no node's fault, once.
-  auto lost = passes(24, 0s);
-  lost.insert(lost.begin() + 3 * 12 + 1, {0s, CounterLost{}});
-  EXPECT_EQ(broken(lost), "");
+  EXPECT_EQ(violated_rules(admit(14, 0s)), "");
+  EXPECT_NE(violated_rules(admit(30, 0s)).find("quotas"), std::string::npos);
+  EXPECT_EQ(violated_rules(admit(100, 500ms)), "");
+  EXPECT_NE(violated_rules(admit(100, 250ms)).find("quotas"), std::string::npos);
+  // Units that the counter grants again after it lost its totals are no violation.
+  auto reset = admit(24, 0s);
+  reset.insert(reset.begin() + 3 * 12 + 1, {0s, CounterReset{}});
+  EXPECT_EQ(violated_rules(reset), "");
 }
-TEST_F(RulesTest, WhatIsBeyondTheStoreIsAPriceAndNoBreach) {
-  Rules rules(terms);
-  rules.saw(kNow, told(1));
+TEST_F(InvariantCheckerTest, RequestsOverTheQuotaAreCountedAndNoViolation) {
+  InvariantChecker checker(config);
+  checker.observe(kNow, announced(1));
   for (std::uint64_t id = 1; id <= 8; ++id) {
-    rules.saw(kNow, sent(id));
-    rules.saw(kNow, arrived(id, 0s));
-    EXPECT_EQ(rules.inside(TryId(id)), id <= 6) << id;
+    checker.observe(kNow, sent(id));
+    checker.observe(kNow, arrived(id, 0s));
+    EXPECT_EQ(checker.is_within_quota(ClientAttemptId(id)), id <= 6) << id;
   }
-  EXPECT_EQ(rules.units_sent(), 8);
-  EXPECT_EQ(rules.units_beyond(), 2);
+  EXPECT_EQ(checker.units_forwarded(), 8);
+  EXPECT_EQ(checker.units_over_quota(), 2);
 }
-TEST_F(RulesTest, TheCeilingOverAllNodes) {
-  terms.plans[0].ceiling_rate = 2, terms.plans[0].ceiling_burst = 6,
-  terms.plans[0].ceiling_slack = 1;
-  const auto passes = [&](int requests) {
-    std::vector<std::pair<Duration, Seen>> trace{{0s, told(1)}};
+TEST_F(InvariantCheckerTest, ExceedingTheCeilingOverAllNodesIsAViolation) {
+  config.plans[0].ceiling_rate = 2, config.plans[0].ceiling_burst = 6,
+  config.plans[0].ceiling_slack = 1;
+  const auto admit = [&](int requests) {
+    std::vector<std::pair<Duration, Observation>> trace{{0s, announced(1)}};
     for (std::uint64_t id = 1; id <= static_cast<std::uint64_t>(requests); ++id) {
       trace.emplace_back(0s, sent(id));
       trace.emplace_back(0s, arrived(id, 0s));
@@ -275,12 +294,13 @@
     }
     return trace;
   };
-  EXPECT_EQ(broken(passes(7)), "");
-  EXPECT_EQ(broken(passes(8)), "ceiling");  // 6 and 1, and the rate's 0.3 in 150 ms
+  EXPECT_EQ(violated_rules(admit(7)), "");
+  EXPECT_EQ(violated_rules(admit(8)),
+            "ceiling");  // burst 6, slack 1, and 0.3 that the rate adds in 150 ms
 }
-TEST_F(RulesTest, ADatagramThatIsTooLong) {
-  EXPECT_EQ(broken({{0s, Datagram{0, 1, 256, true}}}), "");
-  EXPECT_EQ(broken({{0s, Datagram{0, 1, 257, false}}}), "datagrams");
+TEST_F(InvariantCheckerTest, AnOversizedDatagramIsAViolation) {
+  EXPECT_EQ(violated_rules({{0s, Datagram{0, 1, 256, true}}}), "");
+  EXPECT_EQ(violated_rules({{0s, Datagram{0, 1, 257, false}}}), "datagrams");
 }
 
 }  // namespace
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -57,8 +57,8 @@
   options.scenario.fleet.nodes = 2, options.scenario.fleet.seconds = 4;
   // All leave, many of them while their request is still on its way to the front.
   auto& clients = options.scenario.clients;
-  clients.deadline_ms = 20, clients.aim_ms = 10, clients.leave_share = 1;
-  clients.plans = {world::PlanTerms{.name = "basic", .rate = 100}};
+  clients.deadline_ms = 20, clients.aim_ms = 10, clients.early_disconnect_share = 1;
+  clients.plans = {world::PlanConfig{.name = "basic", .rate = 100}};
   const auto played = play(options);
   EXPECT_EQ(played.crash, "");
   std::set<std::string> left, taken;
@@ -87,9 +87,9 @@
     scenario.system.hide_closes = hide_closes;
     // More than the servers can do, so that requests wait for a place, and all clients leave.
     auto& clients = scenario.clients;
-    clients.load = 3, clients.leave_share = 1;
+    clients.load = 3, clients.early_disconnect_share = 1;
     clients.deadline_ms = 3000, clients.aim_ms = 2500;
-    clients.plans = {world::PlanTerms{.name = "basic", .rate = 100}};
+    clients.plans = {world::PlanConfig{.name = "basic", .rate = 100}};
     return soak_findings(play(options));
   };
   const auto sent_on = [](const std::string& finding) {
@@ -105,7 +105,7 @@
   options.program = PETRELRAIL_PROGRAM;
   options.scenario.fleet.nodes = 2, options.scenario.fleet.seconds = 3;
   options.scenario.clients.effect = effect;
-  options.scenario.clients.plans = {world::PlanTerms{.name = "basic"}};
+  options.scenario.clients.plans = {world::PlanConfig{.name = "basic"}};
   return play(options);
 }
 
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -1,11 +1,11 @@
-// The lab's own truth: the counter against the protocol's table, the price server against a queue
-// reckoned by hand, network, peers, and figures.
+// Tests of the simulated parties: the quota counter against the protocol's table, the price server
+// against a queue computed by hand, the event queue, the network and the datagram network.
 #include <gtest/gtest.h>
 
 #include <cmath>
 
-#include "world/agenda.hpp"
 #include "world/counter.hpp"
+#include "world/event_queue.hpp"
 #include "world/network.hpp"
 #include "world/peers.hpp"
 #include "world/price_server.hpp"
@@ -18,142 +18,144 @@
 
 constexpr Time kNow{1000s};
 
-// ---- The agenda ---------------------------------------------------------------------------------
+// ---- Event queue --------------------------------------------------------------------------------
 
-TEST(Agenda, RunsInTheOrderOfTimeThenOfEntryAndNeverGoesBack) {
-  Agenda agenda(kNow);
+TEST(EventQueue, RunsInOrderOfTimeThenOfInsertionAndNeverGoesBack) {
+  EventQueue queue(kNow);
   std::string order;
-  agenda.at(kNow + 2s, [&] { order += 'c'; });
-  agenda.at(kNow + 1s, [&] { order += 'a'; });
-  agenda.at(kNow + 1s, [&] {
+  queue.at(kNow + 2s, [&] { order += 'c'; });
+  queue.at(kNow + 1s, [&] { order += 'a'; });
+  queue.at(kNow + 1s, [&] {
     order += 'b';
-    agenda.at(kNow, [&] { order += '!'; });  // has passed: runs next
+    queue.at(kNow, [&] { order += '!'; });  // in the past: runs next
   });
-  agenda.run_until(kNow + 1s);
+  queue.run_until(kNow + 1s);
   EXPECT_EQ(order, "ab!");
-  agenda.run_until(kNow + 10s);
+  queue.run_until(kNow + 10s);
   EXPECT_EQ(order, "ab!c");
-  EXPECT_EQ(agenda.now(), kNow + 10s);
-  EXPECT_FALSE(agenda.next());
+  EXPECT_EQ(queue.now(), kNow + 10s);
+  EXPECT_FALSE(queue.next_time());
 }
 
-// ---- The counter: every line of PROTOCOL's table ------------------------------------------------
+// ---- Quota counter: every line of PROTOCOL's table ----------------------------------------------
 
 struct CounterTest : ::testing::Test {
-  CounterTerms terms{.calls_per_s = 500, .parts = 1, .call_ms = 1, .line_ms = 20, .timeout_ms = 50};
-  Counter counter{terms, Dice(1)};
-  CounterTest() { counter.set(kNow, Counter::Mode::serving); }
-  Counter::Answer add(Time at, const std::string& name, double amount, Duration life = 4s) {
-    return counter.call(at, {name, amount, life});
+  CounterConfig config{
+      .calls_per_s = 500, .parts = 1, .call_ms = 1, .line_ms = 20, .timeout_ms = 50};
+  Counter counter{config, RandomStreams(1)};
+  CounterTest() { counter.set_mode(kNow, Counter::Mode::serving); }
+  Counter::Answer add(Time at, const std::string& name, double amount, Duration lifetime = 4s) {
+    return counter.call(at, {name, amount, lifetime});
   }
 };
 
-TEST_F(CounterTest, AddsAndTellsTheTotal) {
+TEST_F(CounterTest, AddsAndReturnsTheTotal) {
   EXPECT_EQ(add(kNow, "a", -2.5).total, -2.5);
   EXPECT_EQ(add(kNow, "a", 4).total, 1.5);
   EXPECT_EQ(add(kNow, "b", 0).total, 0);
-  EXPECT_EQ(Counter::written(add(kNow, "a", 1)), "ok 2.5");
+  EXPECT_EQ(Counter::format(add(kNow, "a", 1)), "ok 2.5");
 }
-TEST_F(CounterTest, AnswersComeInTurnSoManyASecond) {
+TEST_F(CounterTest, AnswersInOrderAtTheConfiguredRate) {
   const auto first = add(kNow, "a", 1), second = add(kNow, "b", 1), third = add(kNow + 1s, "a", 1);
   EXPECT_EQ(first.at, kNow + 2ms + 1ms);
   EXPECT_EQ(second.at, kNow + 4ms + 1ms);
   EXPECT_EQ(third.at, kNow + 1s + 3ms);
 }
-TEST_F(CounterTest, TurnsAwayBeyondItsLineAndAddsNothingThen) {
+TEST_F(CounterTest, RejectsCallsBeyondItsQueueAndAddsNothing) {
   for (int i = 0; i < 11; ++i) EXPECT_EQ(add(kNow, "a", 1).kind, Kind::ok) << i;
-  const auto away = add(kNow, "a", 1);
-  EXPECT_EQ(away.kind, Kind::busy);
-  EXPECT_EQ(Counter::written(away), "busy");
-  EXPECT_EQ(add(kNow + 10s, "a", 0).total, 0);  // its life of 4 s is over
+  const auto rejected = add(kNow, "a", 1);
+  EXPECT_EQ(rejected.kind, Kind::busy);
+  EXPECT_EQ(Counter::format(rejected), "busy");
+  EXPECT_EQ(add(kNow + 10s, "a", 0).total, 0);  // its lifetime of 4 s has ended
   add(kNow + 11s, "c", 1);
   EXPECT_EQ(add(kNow + 12s, "c", 0).total, 1);
 }
-TEST_F(CounterTest, ANameEndsWithTheLifeOfItsFirstCallAndLaterOnesDoNotExtendIt) {
+TEST_F(CounterTest, ATotalExpiresWithTheLifetimeOfItsFirstCallWhichLaterCallsDoNotExtend) {
   add(kNow, "a", 5, 2s);
   EXPECT_EQ(add(kNow + 1900ms, "a", 1, 60s).total, 6);
   EXPECT_EQ(add(kNow + 2100ms, "a", 1, 2s).total, 1);
 }
-TEST_F(CounterTest, NoLifeIsLongerThanSixtySeconds) {
-  EXPECT_EQ(Counter::read("incr a 1 600000")->lifetime, 60s);
+TEST_F(CounterTest, LifetimesAreCappedAtSixtySeconds) {
+  EXPECT_EQ(Counter::parse("incr a 1 600000")->lifetime, 60s);
   add(kNow, "a", 5, 3600s);
   EXPECT_EQ(add(kNow + 59s, "a", 0).total, 5);
   EXPECT_EQ(add(kNow + 61s, "a", 0).total, 0);
 }
-TEST_F(CounterTest, ATotalIsExactToSevenDigits) {
+TEST_F(CounterTest, TotalsAreRoundedToSevenDigits) {
   EXPECT_EQ(add(kNow, "a", 1234567.89).total, 1234568);
   EXPECT_EQ(add(kNow, "b", 0.123456789).total, 0.1234568);
-  EXPECT_EQ(Counter::written(add(kNow, "c", 12345678)), "ok 1.234568e+07");
+  EXPECT_EQ(Counter::format(add(kNow, "c", 12345678)), "ok 1.234568e+07");
 }
-TEST_F(CounterTest, ReadsCallsAndTurnsDownWhatIsNone) {
-  const auto call = Counter::read("incr n-1 -2.5 4000");
+TEST_F(CounterTest, ParsesCallsAndRejectsMalformedLines) {
+  const auto call = Counter::parse("incr n-1 -2.5 4000");
   ASSERT_TRUE(call);
   EXPECT_EQ(call->name, "n-1");
   EXPECT_EQ(call->amount, -2.5);
   EXPECT_EQ(call->lifetime, 4s);
-  EXPECT_TRUE(Counter::read("incr " + std::string(64, 'x') + " 1 1"));
-  EXPECT_TRUE(Counter::read("incr a 1e9 1"));
+  EXPECT_TRUE(Counter::parse("incr " + std::string(64, 'x') + " 1 1"));
+  EXPECT_TRUE(Counter::parse("incr a 1e9 1"));
   for (const auto* line : {"", "incr", "incr a", "incr a 1", "incr a 1 0", "incr a 1 -5",
                            "incr a x 5", "incr a 1 5x", "incr  1 5", "incr a 1.1e9 5",
                            "incr a nan 5", "incr a inf 5", "decr a 1 5", "incr a 1 5 6"})
-    EXPECT_FALSE(Counter::read(line)) << line;
-  EXPECT_FALSE(Counter::read("incr " + std::string(65, 'x') + " 1 1"));
+    EXPECT_FALSE(Counter::parse(line)) << line;
+  EXPECT_FALSE(Counter::parse("incr " + std::string(65, 'x') + " 1 1"));
 }
-TEST_F(CounterTest, BeforeTheRunAllIsTurnedAwayAndSilenceAndRefusalAddNothing) {
+TEST_F(CounterTest, ClosedSilentAndRefusingModesAddNothing) {
   add(kNow, "a", 1);
-  counter.set(kNow, Counter::Mode::closed);
+  counter.set_mode(kNow, Counter::Mode::closed);
   EXPECT_EQ(add(kNow, "a", 1).kind, Kind::busy);
-  counter.set(kNow, Counter::Mode::silent);
+  counter.set_mode(kNow, Counter::Mode::silent);
   EXPECT_EQ(add(kNow, "a", 1).kind, Kind::none);
-  counter.set(kNow, Counter::Mode::refusing);
+  counter.set_mode(kNow, Counter::Mode::refusing);
   EXPECT_EQ(add(kNow, "a", 1).kind, Kind::refused);
-  counter.set(kNow + 1s, Counter::Mode::serving);
+  counter.set_mode(kNow + 1s, Counter::Mode::serving);
   EXPECT_EQ(add(kNow + 1s, "a", 0).total, 1);
-  counter.lose_numbers(kNow + 1s);
+  counter.reset(kNow + 1s);
   EXPECT_EQ(add(kNow + 1s, "a", 0).total, 0);
 }
-TEST_F(CounterTest, AnAnswerWithoutANumberHasAddedAllTheSame) {
-  counter.spoil(1);
+TEST_F(CounterTest, AMalformedAnswerStillAddsTheAmount) {
+  counter.set_malformed_share(1);
   const auto a = add(kNow, "a", 3);
-  EXPECT_EQ(a.kind, Kind::spoilt);
-  EXPECT_EQ(Counter::written(a), "ok");
-  counter.spoil(0);
+  EXPECT_EQ(a.kind, Kind::malformed);
+  EXPECT_EQ(Counter::format(a), "ok");
+  counter.set_malformed_share(0);
   EXPECT_EQ(add(kNow, "a", 0).total, 3);
 }
-TEST_F(CounterTest, OneThatIsSlowTakesFewerCalls) {
-  counter.slow(4);
+TEST_F(CounterTest, ASlowdownReducesTheCallRate) {
+  counter.set_slowdown(4);
   EXPECT_EQ(add(kNow, "a", 1).at, kNow + 8ms + 1ms);
 }
 
-// ---- The price server against a queue reckoned by hand ------------------------------------------
+// ---- Price server against a queue computed by hand ----------------------------------------------
 
-ServerTerms plain() {
-  ServerTerms t;
+ServerConfig plain_config() {
+  ServerConfig t;
   t.cores = 2, t.thrash = 0, t.full_tax = 0, t.fall_multiple = 2, t.fall_s = 1;
   return t;
 }
-struct Finished {
+struct Completion {
   std::uint64_t job;
   double at;  // seconds from kNow
   bool served = true;
 };
-std::vector<Finished> run(PriceServer& server, Time until) {
-  std::vector<Finished> all;
-  while (server.next() && *server.next() <= until)
-    for (const auto& d : server.advance(*server.next()))
+std::vector<Completion> run(PriceServer& server, Time until) {
+  std::vector<Completion> all;
+  while (server.next_event_time() && *server.next_event_time() <= until)
+    for (const auto& d : server.advance(*server.next_event_time()))
       all.push_back({static_cast<std::uint64_t>(d.job), seconds(d.at - kNow), d.served});
   return all;
 }
 
-TEST(PriceServer, TwoCoresServeTwoAtFullPaceAndThreeAtTwoThirds) {
-  PriceServer server(plain(), 1, 8, 8);
+TEST(PriceServer, TwoCoresServeTwoRequestsAtFullRateAndThreeAtTwoThirds) {
+  PriceServer server(plain_config(), 1, 8, 8);
   server.start(kNow, 1, {});
-  server.arrive(kNow, JobId(1), 0.3, Time::max());
-  server.arrive(kNow, JobId(2), 0.6, Time::max());
+  server.accept(kNow, JobId(1), 0.3, Time::max());
+  server.accept(kNow, JobId(2), 0.6, Time::max());
   server.advance(kNow + 100ms);
-  server.arrive(kNow + 100ms, JobId(3), 0.2, Time::max());
-  // From 0.1 s on three share two cores: two thirds each. 1 has 0.2 left, 3 has 0.2: both end at
-  // 0.4 s. Then 2 has 0.6 - 0.1 - 0.2 = 0.3 left, alone: at 0.7 s.
+  server.accept(kNow + 100ms, JobId(3), 0.2, Time::max());
+  // From 0.1 s three requests share two cores, two thirds each. Requests 1 and 3 have 0.2 s of work
+  // left and complete at 0.4 s. Then request 2 has 0.6 - 0.1 - 0.2 = 0.3 s left and runs alone
+  // until 0.7 s.
   const auto done = run(server, kNow + 2s);
   ASSERT_EQ(done.size(), 3U);
   EXPECT_NEAR(done[0].at, 0.4, 1e-6);
@@ -161,112 +163,113 @@
   EXPECT_EQ(done[2].job, 2U);
   EXPECT_NEAR(done[2].at, 0.7, 1e-6);
 }
-TEST(PriceServer, SlotsAreFilledFromTheWaitingRoomAndBeyondItAreTurnedAway) {
-  PriceServer server(plain(), 1, 2, 1);
+TEST(PriceServer, FreeSlotsTakeQueuedRequestsAndAFullQueueRejects) {
+  PriceServer server(plain_config(), 1, 2, 1);
   server.start(kNow, 1, {});
-  EXPECT_TRUE(server.arrive(kNow, JobId(1), 0.1, Time::max()));
-  EXPECT_TRUE(server.arrive(kNow, JobId(2), 0.2, Time::max()));
-  EXPECT_TRUE(server.arrive(kNow, JobId(3), 0.1, Time::max()));
-  EXPECT_FALSE(server.arrive(kNow, JobId(4), 0.1, Time::max()));
+  EXPECT_TRUE(server.accept(kNow, JobId(1), 0.1, Time::max()));
+  EXPECT_TRUE(server.accept(kNow, JobId(2), 0.2, Time::max()));
+  EXPECT_TRUE(server.accept(kNow, JobId(3), 0.1, Time::max()));
+  EXPECT_FALSE(server.accept(kNow, JobId(4), 0.1, Time::max()));
   const auto done = run(server, kNow + 2s);
   ASSERT_EQ(done.size(), 3U);
   EXPECT_NEAR(done[0].at, 0.1, 1e-6);
-  EXPECT_NEAR(done[1].at, 0.2, 1e-6);  // 3, begun at 0.1, and 2
+  EXPECT_NEAR(done[1].at, 0.2, 1e-6);  // request 3, started at 0.1 s, and request 2
   EXPECT_NEAR(done[2].at, 0.2, 1e-6);
 }
-TEST(PriceServer, WhatWaitedUntilItsTimeWasOverIsTurnedAwayUnseen) {
-  PriceServer server(plain(), 1, 1, 4);
+TEST(PriceServer, AQueuedRequestPastItsDeadlineIsRejected) {
+  PriceServer server(plain_config(), 1, 1, 4);
   server.start(kNow, 1, {});
-  server.arrive(kNow, JobId(1), 0.5, Time::max());
-  server.arrive(kNow, JobId(2), 0.5, kNow + 400ms);
+  server.accept(kNow, JobId(1), 0.5, Time::max());
+  server.accept(kNow, JobId(2), 0.5, kNow + 400ms);
   const auto done = run(server, kNow + 2s);
   ASSERT_EQ(done.size(), 2U);
   EXPECT_EQ(done[1].job, 2U);
   EXPECT_FALSE(done[1].served);
 }
-TEST(PriceServer, AColdOneWarmsEvenly) {
-  PriceServer server(plain(), 1.5, 8, 8);
+TEST(PriceServer, AColdServerWarmsUpLinearly) {
+  PriceServer server(plain_config(), 1.5, 8, 8);
   server.start(kNow, 0.2, 10s);
   EXPECT_NEAR(server.capacity(kNow), 3 * 0.2, 1e-9);
   EXPECT_NEAR(server.capacity(kNow + 5s), 3 * 0.6, 1e-9);
   EXPECT_NEAR(server.capacity(kNow + 10s), 3, 1e-9);
-  EXPECT_TRUE(server.cold(kNow + 9s));
-  EXPECT_FALSE(server.cold(kNow + 10s));
+  EXPECT_TRUE(server.is_cold(kNow + 9s));
+  EXPECT_FALSE(server.is_cold(kNow + 10s));
 }
-TEST(PriceServer, AColdOneFallsWhenItIsSentMoreThanItBearsAndAWarmOneNever) {
-  PriceServer server(plain(), 1, 100, 100);
+TEST(PriceServer, AColdServerCrashesWhenOverloadedAndAWarmOneDoesNot) {
+  PriceServer server(plain_config(), 1, 100, 100);
   server.start(kNow, 0.25, 1000s);
-  // It bears 2 x 0.5 in a second, a tenth more, and three requests of chance: 1.1 + 0.3.
+  // Bound: 2 x 0.5 in a second, a tenth more, and three requests of slack: 1.1 + 0.3.
   int sent = 0;
-  while (!server.push(kNow + 1ms * sent, 0.1, sent % 4 != 0)) ++sent;
+  while (!server.record_load(kNow + 1ms * sent, 0.1, sent % 4 != 0)) ++sent;
   EXPECT_EQ(sent, 14);
-  EXPECT_EQ(server.phase(), PriceServer::Phase::fallen);
-  EXPECT_NEAR(server.told_share(), 11.0 / 15, 1e-9);
+  EXPECT_EQ(server.phase(), PriceServer::Phase::crashed);
+  EXPECT_NEAR(server.informed_share(), 11.0 / 15, 1e-9);
   server.start(kNow, 1, {});
-  for (int i = 0; i < 1000; ++i) EXPECT_FALSE(server.push(kNow, 0.1, true));
+  for (int i = 0; i < 1000; ++i) EXPECT_FALSE(server.record_load(kNow, 0.1, true));
 }
-TEST(PriceServer, WhatIsSentSlowlyDoesNotAddUpBeyondTheSpan) {
-  PriceServer server(plain(), 1, 100, 100);
+TEST(PriceServer, LoadOlderThanTheSpanDoesNotCount) {
+  PriceServer server(plain_config(), 1, 100, 100);
   server.start(kNow, 0.25, 1000s);
-  for (int i = 0; i < 200; ++i) EXPECT_FALSE(server.push(kNow + 100ms * i, 0.1, true)) << i;
+  for (int i = 0; i < 200; ++i) EXPECT_FALSE(server.record_load(kNow + 100ms * i, 0.1, true)) << i;
 }
-TEST(PriceServer, AFullTableOfConnectionsTakesCapacity) {
-  auto terms = plain();
-  terms.full_tax = 0.5, terms.connections_per_core = 10;
-  PriceServer server(terms, 1, 8, 8);
+TEST(PriceServer, AFullConnectionTableReducesCapacity) {
+  auto config = plain_config();
+  config.full_tax = 0.5, config.connections_per_core = 10;
+  PriceServer server(config, 1, 8, 8);
   server.start(kNow, 1, {});
-  EXPECT_EQ(server.most_connections(), 20U);
+  EXPECT_EQ(server.max_connections(), 20U);
   server.set_connections(20);
-  server.arrive(kNow, JobId(1), 0.1, Time::max());
+  server.accept(kNow, JobId(1), 0.1, Time::max());
   const auto done = run(server, kNow + 2s);
   ASSERT_EQ(done.size(), 1U);
   EXPECT_NEAR(done[0].at, 0.2, 1e-6);
 }
 
-// ---- The network and the peers ------------------------------------------------------------------
+// ---- Network and datagram network ---------------------------------------------------------------
 
-TEST(Network, CutsBetweenAnyTwoSetsOneWayAndBothWays) {
-  Network net(NetworkTerms{}, Dice(1));
+TEST(Network, PartitionsAnyTwoSetsInOneOrBothDirections) {
+  Network net(NetworkConfig{}, RandomStreams(1));
   const Party a{Party::Kind::node, 0}, b{Party::Kind::node, 1}, s{Party::Kind::server, 0};
-  const auto both = net.cut({{a}, {s}, true, true, false});
+  const auto both = net.partition({{a}, {s}, true, true, false});
   EXPECT_FALSE(net.passes(a, s));
   EXPECT_FALSE(net.passes(s, a));
-  EXPECT_TRUE(net.talk(b, s));
-  const auto out = net.cut({{b}, {a}, true, false, true});
+  EXPECT_TRUE(net.connected(b, s));
+  const auto out = net.partition({{b}, {a}, true, false, true});
   EXPECT_FALSE(net.passes(b, a));
   EXPECT_TRUE(net.passes(a, b));
-  EXPECT_FALSE(net.talk(a, b));
+  EXPECT_FALSE(net.connected(a, b));
   EXPECT_TRUE(net.resets(a, b));
   EXPECT_FALSE(net.resets(a, s));
   net.heal(both);
-  EXPECT_TRUE(net.talk(a, s));
+  EXPECT_TRUE(net.connected(a, s));
   net.heal(out);
-  EXPECT_TRUE(net.talk(a, b));
+  EXPECT_TRUE(net.connected(a, b));
 }
-TEST(Peers, LoseDelayAndRepeatAsTheTermsSay) {
-  PeerNetwork net({.delay_ms = {1, 24}, .loss = 0.1, .duplicate = 0.2, .reorder = 0.3}, 2, Dice(7));
-  int lost = 0, twice = 0, over = 0;
+TEST(PeerNetwork, LosesDelaysAndDuplicatesAsConfigured) {
+  PeerNetwork net({.delay_ms = {1, 24}, .loss = 0.1, .duplicate = 0.2, .reorder = 0.3}, 2,
+                  RandomStreams(7));
+  int lost = 0, duplicated = 0, reordered = 0;
   for (int i = 0; i < 10000; ++i) {
     const auto at = net.send(kNow);
-    lost += at.empty(), twice += at.size() == 2;
+    lost += at.empty(), duplicated += at.size() == 2;
     for (const auto t : at) {
       EXPECT_GE(t, kNow + 1ms);
-      over += t > kNow + 24ms;
+      reordered += t > kNow + 24ms;
     }
   }
   EXPECT_NEAR(lost / 1e4, 0.1, 0.015);
-  EXPECT_NEAR(twice / 9e3, 0.2, 0.02);
-  EXPECT_GT(over, 500);  // overtaken by later ones
-  net.lose(1);
+  EXPECT_NEAR(duplicated / 9e3, 0.2, 0.02);
+  EXPECT_GT(reordered, 500);
+  net.set_extra_loss(1);
   EXPECT_TRUE(net.send(kNow).empty());
 }
-TEST(Peers, ANodeTakesInNoMoreASecondThanItCan) {
-  PeerNetwork net({.in_per_s = 60}, 2, Dice(7));
-  int taken = 0;
-  for (int i = 0; i < 200; ++i) taken += net.take(kNow + 5ms * i, 0);
-  EXPECT_EQ(taken, 60);
-  EXPECT_TRUE(net.take(kNow + 999ms, 1));
-  EXPECT_TRUE(net.take(kNow + 1s, 0));
+TEST(PeerNetwork, ANodeReceivesAtMostItsLimitEachSecond) {
+  PeerNetwork net({.in_per_s = 60}, 2, RandomStreams(7));
+  int received = 0;
+  for (int i = 0; i < 200; ++i) received += net.receive(kNow + 5ms * i, 0);
+  EXPECT_EQ(received, 60);
+  EXPECT_TRUE(net.receive(kNow + 999ms, 1));
+  EXPECT_TRUE(net.receive(kNow + 1s, 0));
   EXPECT_TRUE(net.too_long(257));
   EXPECT_FALSE(net.too_long(256));
 }
