--- a/src/world/lease_cases.cpp
+++ b/src/world/lease_cases.cpp
@@ -15,19 +15,21 @@
 class CaseRun {
  public:
   explicit CaseRun(const LeaseCaseConfig& t, std::function<void(LeaseFleet::Options&)> change = {})
-      : config_(t), dice_(Dice(mix_hash(t.seed)).stream("duty case")), fleet_(options(t, change)) {
+      : config_(t),
+        dice_(RandomStreams(mix_hash(t.seed)).stream("duty case")),
+        fleet_(options(t, change)) {
     fleet_.start_all();
     fleet_.run_until([&] { return fleet_.active_node().has_value(); }, kMaxWait);
     fleet_.run_for(10s);
     start_time_ = fleet_.now(), initial_totals_ = fleet_.totals();
   }
   LeaseFleet& fleet() { return fleet_; }
-  Dice& dice() { return dice_; }
+  RandomStreams& dice() { return dice_; }
   Duration term() const { return fleet::LeaderLeaseConfig{}.term_duration(); }
   const LeaseCaseConfig& config() const { return config_; }
   // Waits until a random moment of a term; returns the holder at that time.
   std::uint32_t holder_at_random_time() {
-    fleet_.run_for(scaled(2 * term(), dice_.part()));
+    fleet_.run_for(scaled(2 * term(), dice_.uniform()));
     fleet_.run_until([&] { return fleet_.active_node().has_value(); }, kMaxWait);
     return *fleet_.active_node();
   }
@@ -83,7 +85,7 @@
   }
 
   LeaseCaseConfig config_;
-  Dice dice_;
+  RandomStreams dice_;
   LeaseFleet fleet_;
   Time start_time_{};
   LeaseFleet::Totals initial_totals_;
@@ -196,26 +198,28 @@
 }
 LeaseCaseResult counter_silent(const LeaseCaseConfig& t) {
   return counter_fault(
-      t, [](Counter& c, Time now) { c.set(now, Counter::Mode::silent); },
-      [](Counter& c, Time now) { c.set(now, Counter::Mode::serving); });
+      t, [](Counter& c, Time now) { c.set_mode(now, Counter::Mode::silent); },
+      [](Counter& c, Time now) { c.set_mode(now, Counter::Mode::serving); });
 }
 LeaseCaseResult counter_slow(const LeaseCaseConfig& t) {
   // Each call takes a third of a second: replies arrive late or not at all, but the adds are
   // applied.
   return counter_fault(
-      t, [](Counter& c, Time) { c.slow(200); }, [](Counter& c, Time) { c.slow(1); });
+      t, [](Counter& c, Time) { c.set_slowdown(200); },
+      [](Counter& c, Time) { c.set_slowdown(1); });
 }
 LeaseCaseResult counter_replies_corrupted(const LeaseCaseConfig& t) {
   return counter_fault(
-      t, [](Counter& c, Time) { c.spoil(0.5); }, [](Counter& c, Time) { c.spoil(0); });
+      t, [](Counter& c, Time) { c.set_malformed_share(0.5); },
+      [](Counter& c, Time) { c.set_malformed_share(0); });
 }
 // The counter loses its data repeatedly, at random moments; each fourth time the holder is killed
 // too.
 LeaseCaseResult counter_data_lost(const LeaseCaseConfig& t) {
   CaseRun p(t);
   for (std::uint32_t i = 0; i < 4 * t.repetitions; ++i) {
-    p.fleet().run_for(2 * p.term() + scaled(p.term(), p.dice().part()));
-    p.fleet().counter().lose_numbers(p.fleet().now());
+    p.fleet().run_for(2 * p.term() + scaled(p.term(), p.dice().uniform()));
+    p.fleet().counter().reset(p.fleet().now());
     if (i % 4 != 3) continue;
     const auto holder = p.holder_at_random_time();
     p.fleet().kill(holder);
@@ -290,18 +294,18 @@
       }
       case 5: f.upgrade(n); break;
       case 6:
-        f.counter().set(f.now(), Counter::Mode::silent);
-        f.at(f.now() + span / 3, [&f] { f.counter().set(f.now(), Counter::Mode::serving); });
+        f.counter().set_mode(f.now(), Counter::Mode::silent);
+        f.at(f.now() + span / 3, [&f] { f.counter().set_mode(f.now(), Counter::Mode::serving); });
         break;
       case 7:
-        f.counter().slow(p.dice().between(1, 100)), f.counter().spoil(0.2);
-        undo_later([&f] { f.counter().slow(1), f.counter().spoil(0); });
+        f.counter().set_slowdown(p.dice().between(1, 100)), f.counter().set_malformed_share(0.2);
+        undo_later([&f] { f.counter().set_slowdown(1), f.counter().set_malformed_share(0); });
         break;
       default:
         // Two losses within two terms are outside the guarantee.
         if (f.now() - last_data_loss < 2 * p.term()) break;
         last_data_loss = f.now();
-        f.counter().lose_numbers(f.now());
+        f.counter().reset(f.now());
     }
   }
   return p.result();
--- a/src/world/lease_fleet.cpp
+++ b/src/world/lease_fleet.cpp
@@ -42,10 +42,10 @@
       return partition_of(from).to_peers || partition_of(to).from_peers;
     });
   } else {
-    agenda_ = std::make_unique<Agenda>(
+    agenda_ = std::make_unique<EventQueue>(
         kStartTime + Duration(static_cast<Duration::rep>(mix_hash(options_.seed) % 1'000'000'000)));
   }
-  counter_.set(now(), Counter::Mode::serving);
+  counter_.set_mode(now(), Counter::Mode::serving);
   at(now(), [this] { audit_all(); });
   at(now(), [this] { update_views(); });
 }
@@ -218,7 +218,7 @@
   auto& lease = p.leases[lease_index];
   for (const auto& c : lease.drain_calls()) {
     const auto call_delay = options_.max_call_delay > 0ns
-                                ? scaled(options_.max_call_delay, dice_.part())
+                                ? scaled(options_.max_call_delay, dice_.uniform())
                                 : Duration{};
     at(now() + call_delay, [this, id = p.id, lease_index, c] {
       run_in(id, [this, id, lease_index, c](Process&) { send_call(id, lease_index, c); });
@@ -288,7 +288,7 @@
       arrivals.push_back(now());
       totals_.max_arrivals_per_s = std::max<std::uint64_t>(totals_.max_arrivals_per_s,
                                                            arrivals.size());
-      if (!network_.take(now(), to)) return;
+      if (!network_.receive(now(), to)) return;
       run_in(receiver->id, [this, from, lease_index, entry](Process& q) {
         q.leases[lease_index].on_announcement(
             local(q), fleet::MemberId(static_cast<std::uint16_t>(from)), entry);
@@ -373,7 +373,7 @@
     ++totals_.effects;
     // The process may stall between the check of its clock and the effect.
     const auto id = p->id;
-    at(now() + scaled(2ms, dice_.part()), [this, id, lease_index, e = *epoch] {
+    at(now() + scaled(2ms, dice_.uniform()), [this, id, lease_index, e = *epoch] {
       run_in(id, [this, lease_index, e](Process& q) { emit_effect(q, lease_index, e); });
     });
   }
@@ -382,7 +382,7 @@
 void LeaseFleet::emit_effect(const Process& p, std::size_t lease_index, fleet::FencingToken epoch) {
   for (std::size_t r = 0; r < kReceivers; ++r) {
     auto delay = dice_.seconds_in(options_.peers.delay_ms) / 1000;
-    if (dice_.chance(0.01)) delay += scaled(3s, dice_.part());
+    if (dice_.chance(0.01)) delay += scaled(3s, dice_.uniform());
     at(now() + delay, [this, lease_index, r, id = p.id, node = p.node, epoch] {
       receive_effect(lease_index, r, id, node, epoch);
     });
--- a/src/world/lease_fleet.hpp
+++ b/src/world/lease_fleet.hpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "agenda.hpp"
 #include "counter.hpp"
-#include "dice.hpp"
+#include "event_queue.hpp"
 #include "fleet/leader_lease.hpp"
 #include "member_fleet.hpp"
 #include "peers.hpp"
+#include "random_streams.hpp"
 
 namespace petrelrail::world {
 
@@ -27,9 +27,9 @@
     fleet::LeaderLeaseConfig
         lease_config{};  // the constructor sets `nodes` and `counter_timeout` from these options
     fleet::LeaseViolation disabled_safeguards{};
-    PeerTerms peers{};
-    CounterTerms counter{};
-    NetworkTerms network{};
+    PeerConfig peers{};
+    CounterConfig counter{};
+    NetworkConfig network{};
     bool uses_membership = false;  // views by src/fleet/membership; else all follow view_delay
     Duration view_delay = std::chrono::seconds(
         8);  // without membership: until a view shows that a node is unreachable
@@ -67,7 +67,7 @@
   void set_candidates(bool candidate);
   void set_partition(std::uint32_t node, Partition partition);
   Counter& counter() { return counter_; }
-  void set_announcement_loss(double share) { network_.lose(share); }
+  void set_announcement_loss(double share) { network_.set_extra_loss(share); }
 
   // Returns the node that may act now and is not stalled.
   std::optional<std::uint32_t> active_node(std::size_t lease_index = 0) const;
@@ -132,9 +132,9 @@
   const Partition& partition_of(std::uint32_t node) const { return partitions_[node]; }
 
   Options options_;
-  Dice dice_;
+  RandomStreams dice_;
   std::unique_ptr<MemberFleet> members_;  // if set, its clock is the clock of this fleet
-  std::unique_ptr<Agenda> agenda_;
+  std::unique_ptr<EventQueue> agenda_;
   Counter counter_;
   PeerNetwork network_;
   std::vector<Partition> partitions_;
--- a/src/world/member_cases.cpp
+++ b/src/world/member_cases.cpp
@@ -29,7 +29,7 @@
  public:
   explicit CaseRun(const MemberCaseConfig& config)
       : config_(config),
-        dice_(Dice(mix_hash(config.seed)).stream("case")),
+        dice_(RandomStreams(mix_hash(config.seed)).stream("case")),
         fleet_(options(config),
                [this](Time time, std::uint32_t observer, const fleet::StatusChange& change) {
                  on_status_change(time, observer, change);
@@ -38,7 +38,7 @@
         start_time_(fleet_.now()) {}
 
   MemberFleet& fleet() { return fleet_; }
-  Dice& dice() { return dice_; }
+  RandomStreams& dice() { return dice_; }
   double seconds_since(Time t) const { return petrelrail::seconds(fleet_.now() - t); }
   // Starts all nodes, waits until all views are accurate and resets the metrics.
   void start_and_settle() {
@@ -100,7 +100,7 @@
   }
 
   MemberCaseConfig config_;
-  Dice dice_;
+  RandomStreams dice_;
   MemberFleet fleet_;
   std::vector<bool> stalling_;
   MemberCaseResult result_;
--- a/src/world/member_fleet.cpp
+++ b/src/world/member_fleet.cpp
@@ -96,7 +96,7 @@
     n.traffic.max_arrivals_by_kind = {};
     for (const auto& [when, kind] : n.recent_arrivals) ++n.traffic.max_arrivals_by_kind[kind];
   }
-  if (!network_.take(now(), to)) return;
+  if (!network_.receive(now(), to)) return;
   if (n.stalled) {
     if (n.inbox.size() < kMaxInbox) n.inbox.emplace_back(from, bytes);
     return;
--- a/src/world/member_fleet.hpp
+++ b/src/world/member_fleet.hpp
@@ -11,10 +11,10 @@
 #include <variant>
 #include <vector>
 
-#include "agenda.hpp"
-#include "dice.hpp"
+#include "event_queue.hpp"
 #include "fleet/membership.hpp"
 #include "peers.hpp"
+#include "random_streams.hpp"
 
 namespace petrelrail::world {
 
@@ -22,7 +22,7 @@
  public:
   struct Options {
     std::uint32_t nodes = 300, zones = 3;
-    PeerTerms peers{};
+    PeerConfig peers{};
     fleet::MembershipConfig config{};  // the constructor sets `nodes` and `inbox_per_s`
                                        // from these options
     std::uint64_t seed = 1;
@@ -52,7 +52,7 @@
   void set_link_filter(std::function<bool(std::uint32_t from, std::uint32_t to)> drops) {
     drops_ = std::move(drops);
   }
-  void set_loss(double share) { network_.lose(share); }
+  void set_loss(double share) { network_.set_extra_loss(share); }
   // Delivers arbitrary bytes as a datagram from a node's address.
   void inject(std::uint32_t from, std::uint32_t to, std::string bytes);
   // `listener` is called for every datagram that arrives, before intake limits.
@@ -108,8 +108,8 @@
 
   Options options_;
   StatusCallback on_status_change_;
-  Dice dice_;
-  Agenda agenda_;
+  RandomStreams dice_;
+  EventQueue agenda_;
   Time start_time_;
   PeerNetwork network_;
   std::function<bool(std::uint32_t, std::uint32_t)> drops_;
