--- a/lab/jobs_study.cpp
+++ b/lab/jobs_study.cpp
@@ -32,8 +32,8 @@
   return sorted[static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1))];
 }
 
-void print_words(const JobFleet::Breaches& b, std::uint64_t seed) {
-  for (const auto& w : b.words)
+void print_words(const JobFleet::Violations& b, std::uint64_t seed) {
+  for (const auto& w : b.texts)
     std::printf("  seed %llu, %s\n", static_cast<unsigned long long>(seed), w.c_str());
 }
 
@@ -49,19 +49,19 @@
   for (const auto fault :
        {HolderFault::kill, HolderFault::stall, HolderFault::cut, HolderFault::leave})
     for (const std::uint32_t jobs : {1U, 100U}) {
-      std::vector<Recovery> found(s.seeds);
+      std::vector<RecoveryResult> found(s.seeds);
       on_threads(s.threads, s.seeds, [&](std::size_t i) {
-        found[i] = play_recovery(fault, s.nodes, jobs, s.first_seed + i);
+        found[i] = run_recovery_case(fault, s.nodes, jobs, s.first_seed + i);
       });
       std::vector<double> all;
       std::uint64_t never = 0, breaches = 0;
       std::uint32_t by_one = 0;
       for (std::size_t i = 0; i < found.size(); ++i) {
         const auto& r = found[i];
-        all.insert(all.end(), r.seconds.begin(), r.seconds.end());
-        never += r.never, breaches += r.breaches.sum();
-        by_one = std::max(by_one, r.most_by_one);
-        print_words(r.breaches, s.first_seed + i);
+        all.insert(all.end(), r.recovery_times_s.begin(), r.recovery_times_s.end());
+        never += r.unrecovered, breaches += r.violations.total();
+        by_one = std::max(by_one, r.max_jobs_per_successor);
+        print_words(r.violations, s.first_seed + i);
       }
       std::ranges::sort(all);
       const double p99 = percentile(all, 0.99);
@@ -77,28 +77,30 @@
 
 bool print_faults(const JobsStudy& s) {
   const auto plays = static_cast<std::size_t>(s.minutes / kPlayMinutes);
-  std::vector<FaultFigures> found(plays);
+  std::vector<RandomFaultResult> found(plays);
   on_threads(s.threads, plays, [&](std::size_t i) {
-    FaultTerms t;
+    RandomFaultConfig t;
     t.seed = s.first_seed + i, t.minutes = kPlayMinutes;
-    found[i] = play_faults(t);
+    found[i] = run_random_faults(t);
   });
-  JobFleet::Breaches b;
+  JobFleet::Violations b;
   JobFleet::Counts c;
   double minutes = 0;
   std::uint64_t stuck = 0;
   for (std::size_t i = 0; i < plays; ++i) {
     const auto& f = found[i];
-    b.both_out += f.breaches.both_out, b.older_epoch += f.breaches.older_epoch;
-    b.after_fetch += f.breaches.after_fetch, b.unsafe_twice += f.breaches.unsafe_twice;
-    b.no_client += f.breaches.no_client, b.after_delete += f.breaches.after_delete,
-        b.lost += f.breaches.lost;
-    c.lines_sent += f.counts.lines_sent, c.fetched += f.counts.fetched, c.rerun += f.counts.rerun;
-    c.handed_in += f.counts.handed_in, c.takeovers += f.counts.takeovers,
-        c.unknown += f.counts.unknown;
-    c.dropped += f.counts.dropped;
-    minutes += f.minutes, stuck += f.stuck;
-    print_words(f.breaches, s.first_seed + i);
+    b.concurrent_runs += f.violations.concurrent_runs, b.older_epoch += f.violations.older_epoch;
+    b.rerun_after_fetch += f.violations.rerun_after_fetch,
+        b.unsafe_reruns += f.violations.unsafe_reruns;
+    b.unknown_tasks += f.violations.unknown_tasks,
+        b.run_after_delete += f.violations.run_after_delete, b.lost_jobs += f.violations.lost_jobs;
+    c.tasks_sent += f.counts.tasks_sent, c.answers_fetched += f.counts.answers_fetched,
+        c.reruns += f.counts.reruns;
+    c.jobs_submitted += f.counts.jobs_submitted, c.takeovers += f.counts.takeovers,
+        c.unknown_outcomes += f.counts.unknown_outcomes;
+    c.jobs_dropped += f.counts.jobs_dropped;
+    minutes += f.minutes, stuck += f.unfinished_jobs;
+    print_words(f.violations, s.first_seed + i);
   }
   const auto row = [](const char* what, std::uint64_t n) {
     std::printf("| %s | %llu |\n", what, static_cast<unsigned long long>(n));
@@ -107,22 +109,22 @@
               static_cast<unsigned long long>(s.first_seed));
   std::printf("| what | count |\n| --- | --- |\n");
   row("simulated minutes", static_cast<std::uint64_t>(minutes));
-  row("jobs handed in", c.handed_in);
+  row("jobs handed in", c.jobs_submitted);
   row("take-overs", c.takeovers);
-  row("lines sent", c.lines_sent);
-  row("answers fetched", c.fetched);
-  row("lines run again, answer lost unfetched", c.rerun);
-  row("lines told as unknown or lost", c.unknown);
-  row("jobs lost as all nodes were restarted at once", c.dropped);
+  row("lines sent", c.tasks_sent);
+  row("answers fetched", c.answers_fetched);
+  row("lines run again, answer lost unfetched", c.reruns);
+  row("lines told as unknown or lost", c.unknown_outcomes);
+  row("jobs lost as all nodes were restarted at once", c.jobs_dropped);
   row("jobs not over when all had healed", stuck);
-  row("breach: out from two nodes at once", b.both_out);
+  row("breach: out from two nodes at once", b.concurrent_runs);
   row("breach: an older epoch after a newer one", b.older_epoch);
-  row("breach: run again though fetched", b.after_fetch);
-  row("breach: run again though not safe to repeat", b.unsafe_twice);
-  row("breach: a line that no client sent", b.no_client);
-  row("breach: run after it was told deleted", b.after_delete);
-  row("breach: accepted and lost", b.lost);
-  return b.sum() == 0 && stuck == 0;
+  row("breach: run again though fetched", b.rerun_after_fetch);
+  row("breach: run again though not safe to repeat", b.unsafe_reruns);
+  row("breach: a line that no client sent", b.unknown_tasks);
+  row("breach: run after it was told deleted", b.run_after_delete);
+  row("breach: accepted and lost", b.lost_jobs);
+  return b.total() == 0 && stuck == 0;
 }
 
 }  // namespace
--- a/lab/records_study.cpp
+++ b/lab/records_study.cpp
@@ -17,8 +17,8 @@
 }
 
 // One play for each seed; the same whatever the cores.
-RecordFigures play_seeds(const RecordCase& c, const RecordsStudy& s) {
-  std::vector<RecordFigures> plays(s.seeds);
+RecordCaseResult play_seeds(const RecordCase& c, const RecordsStudy& s) {
+  std::vector<RecordCaseResult> plays(s.seeds);
   std::atomic<std::uint32_t> next{0};
   std::vector<std::jthread> workers;
   const unsigned cores = s.cores > 0 ? s.cores : std::max(1U, std::thread::hardware_concurrency());
@@ -26,11 +26,11 @@
     workers.emplace_back([&, terms = s.terms]() mutable {
       for (std::uint32_t i = next++; i < s.seeds; i = next++) {
         terms.seed = s.first_seed + i;
-        plays[i] = c.play(terms);
+        plays[i] = c.run(terms);
       }
     });
   workers.clear();
-  RecordFigures all;
+  RecordCaseResult all;
   for (const auto& p : plays)
     for (const auto& [name, values] : p)
       all[name].insert(all[name].end(), values.begin(), values.end());
@@ -47,7 +47,7 @@
 }  // namespace
 
 int records_study(const RecordsStudy& s) {
-  const auto terms = terms_of(s.terms);
+  const auto terms = store_config(s.terms);
   fleet::validate(terms);
   if (s.terms.nodes < 2 || s.terms.zones < 1 || s.terms.zones > fleet::kMaxZones || s.seeds < 1)
     throw std::invalid_argument(
@@ -61,7 +61,7 @@
       "%.1f\n\n",
       s.terms.nodes, s.terms.zones, s.terms.loss * 100,
       static_cast<unsigned long long>(s.first_seed),
-      static_cast<unsigned long long>(s.first_seed + s.seeds - 1), s.terms.news_per_s,
+      static_cast<unsigned long long>(s.first_seed + s.seeds - 1), s.terms.gossip_per_s,
       s.terms.pull_per_s, terms.expected_intake_per_s());
   std::printf(
       "| case | figure | values | mean | median | 99th percentile | most |\n| --- | --- | --- | "
--- a/lab/records_study.hpp
+++ b/lab/records_study.hpp
@@ -13,8 +13,8 @@
   std::vector<std::string> cases;  // none: all
   std::uint32_t seeds = 20;
   std::uint64_t first_seed = 1;
-  unsigned cores = 0;              // 0: all
-  world::RecordCaseTerms terms{};  // their seed is not used
+  unsigned cores = 0;               // 0: all
+  world::RecordCaseConfig terms{};  // their seed is not used
 };
 
 // Prints a table. 0 if nothing that was called safe is lost to two deaths or a zone's, nothing is
--- a/lab/shadow_study.cpp
+++ b/lab/shadow_study.cpp
@@ -38,81 +38,83 @@
 struct ErrorCase {
   const char* name;
   const char* what;
-  TrialTerms terms;
+  ShadowTrialConfig terms;
   MapFinding wrong;  // what must not be found
 };
 std::vector<ErrorCase> error_cases() {
   const auto terms = [](auto change) {
-    TrialTerms t;
+    ShadowTrialConfig t;
     change(t);
     return t;
   };
-  const auto in_one = [](TrialTerms& t) {
-    t.truth.only_shard = 0;
+  const auto in_one = [](ShadowTrialConfig& t) {
+    t.truth.affected_shard = 0;
   };  // the one with the most traffic
-  const auto few = [](TrialTerms& t) { t.truth.shards = 4, t.most_copies = 400'000; };
+  const auto few = [](ShadowTrialConfig& t) { t.truth.shards = 4, t.max_copies = 400'000; };
   return {
       {"alike", "nothing differs beyond the control",
-       terms([](TrialTerms& t) { t.most_copies = 300'000; }), MapFinding::must_not},
+       terms([](ShadowTrialConfig& t) { t.max_copies = 300'000; }), MapFinding::must_not},
       {"alike-4", "the same, a map of 4 shards, to its verdict",
-       terms([&](TrialTerms& t) { few(t); }), MapFinding::must_not},
+       terms([&](ShadowTrialConfig& t) { few(t); }), MapFinding::must_not},
       {"alike-busy", "the same, 1 in 50 differs by publication, 1 in 50 fails",
-       terms([](TrialTerms& t) {
-         t.truth.published = 0.019, t.truth.failing = 0.02;
-         t.most_copies = 200'000;
+       terms([](ShadowTrialConfig& t) {
+         t.truth.published_share = 0.019, t.truth.failing_share = 0.02;
+         t.max_copies = 200'000;
        }),
        MapFinding::must_not},
-      {"differs", "one shard of 4 differs by the margin, 0.001", terms([&](TrialTerms& t) {
+      {"differs", "one shard of 4 differs by the margin, 0.001", terms([&](ShadowTrialConfig& t) {
          few(t), in_one(t);
-         t.truth.differs = 0.001, t.truth.published = 0.0002;
+         t.truth.candidate_differing_share = 0.001, t.truth.published_share = 0.0002;
        }),
        MapFinding::may_be_used},
-      {"fails", "one shard of 4 fails by the margin, 0.001", terms([&](TrialTerms& t) {
+      {"fails", "one shard of 4 fails by the margin, 0.001", terms([&](ShadowTrialConfig& t) {
          few(t), in_one(t);
-         t.truth.fails = 0.001, t.truth.failing = 0.0002;
+         t.truth.candidate_failing_share = 0.001, t.truth.failing_share = 0.0002;
        }),
        MapFinding::may_be_used},
-      {"slower", "one shard of 4 is later by the margin, 0.05", terms([&](TrialTerms& t) {
+      {"slower", "one shard of 4 is later by the margin, 0.05", terms([&](ShadowTrialConfig& t) {
          few(t), in_one(t);
-         t.truth.slower = 0.064;  // of these 0.79 come later than an edge that they would have kept
+         t.truth.candidate_slow_share = 0.064;  // of these 0.79 come later than an edge that they
+                                                // would have kept
        }),
        MapFinding::may_be_used},
       {"differs-64", "each of 64 shards differs by the margin, 0.001",
-       terms([](TrialTerms& t) { t.truth.differs = 0.001; }), MapFinding::may_be_used},
+       terms([](ShadowTrialConfig& t) { t.truth.candidate_differing_share = 0.001; }),
+       MapFinding::may_be_used},
   };
 }
 
 struct TimeCase {
   const char* name;
   const char* what;
-  ShadowFleetTerms terms;
+  ShadowFleetConfig terms;
   std::uint32_t one_in = 1;  // of the plays asked for: the long ones are fewer
 };
 std::vector<TimeCase> time_cases() {
-  ShadowFleetTerms rare;
-  rare.truth.differs = 0.001;
-  rare.truth.published = 0;
-  rare.truth.failing = 0;
+  ShadowFleetConfig rare;
+  rare.truth.candidate_differing_share = 0.001;
+  rare.truth.published_share = 0;
+  rare.truth.failing_share = 0;
   auto one = rare;
   one.truth.shards = 1;
-  one.truth.only_shard = 0;
+  one.truth.affected_shard = 0;
   auto published = rare;
-  published.truth.published = 0.0001;
-  ShadowFleetTerms failing;
+  published.truth.published_share = 0.0001;
+  ShadowFleetConfig failing;
   failing.lookups_per_s = 200;
-  failing.truth.only_shard = 5;
-  failing.truth.fails = 1;
-  failing.seconds = 30;
+  failing.truth.affected_shard = 5;
+  failing.truth.candidate_failing_share = 1;
+  failing.duration_s = 30;
   auto calm = failing;
   calm.lookups_per_s = 10;
-  calm.seconds = 120;
+  calm.duration_s = 120;
   auto lossy = failing;
   lossy.loss = 0.2;
-  ShadowFleetTerms deaths;
-  deaths.truth.differs = 0.0;
-  deaths.ends_at = 200;
-  deaths.quiet_after = 300;
-  deaths.seconds = 450;
+  ShadowFleetConfig deaths;
+  deaths.truth.candidate_differing_share = 0.0;
+  deaths.crash_time_s = 200;
+  deaths.idle_time_s = 300;
+  deaths.duration_s = 450;
   return {{"rare", "1 in 1,000 differs, slice 5%", rare},
           {"rare-one", "the same, a map of one shard", one},
           {"rare-published", "1 in 1,000 differs, 1 in 10,000 by publication", published},
@@ -127,14 +129,15 @@
 }
 
 bool study_errors(const ShadowStudy& study, const ErrorCase& c) {
-  const auto plays = play_seeds(study.first_seed, study.maps,
-                                [&](std::uint64_t seed) { return play_trial(c.terms, seed); });
+  const auto plays = play_seeds(study.first_seed, study.maps, [&](std::uint64_t seed) {
+    return run_shadow_trial(c.terms, seed);
+  });
   std::array<std::uint32_t, 3> by_finding{};
   std::uint32_t wrong = 0;
   std::vector<double> copies;
   for (const auto& p : plays) {
     ++by_finding.at(static_cast<std::size_t>(p.map));
-    wrong += p.map == c.wrong || (c.wrong == MapFinding::must_not && p.bad_shards > 0) ? 1 : 0;
+    wrong += p.map == c.wrong || (c.wrong == MapFinding::must_not && p.worse_shards > 0) ? 1 : 0;
     if (p.map != MapFinding::undecided) copies.push_back(static_cast<double>(p.copies));
   }
   const bool kept = wrong < fleet::kWrongRate * study.maps || wrong == 0;
@@ -150,24 +153,24 @@
 bool study_time(const ShadowStudy& study, const TimeCase& c) {
   const auto number = std::max(1U, study.plays / c.one_in);
   const auto plays = play_seeds(study.first_seed, number, [&](std::uint64_t seed) {
-    return play_shadow_fleet(c.terms, seed);
+    return run_shadow_fleet(c.terms, seed);
   });
   std::vector<double> copies, told, found, stopped, intake, lost;
   std::uint32_t records = 0, untold = 0, unstopped = 0;
   bool exceeded = false;
-  const bool stops = c.terms.truth.fails > 0.5, ends = c.terms.ends_at > 0;
+  const bool stops = c.terms.truth.candidate_failing_share > 0.5, ends = c.terms.crash_time_s > 0;
   for (const auto& p : plays) {
     copies.push_back(static_cast<double>(p.copies));
-    if (p.told) told.push_back(*p.told);
-    if (p.found_after) found.push_back(*p.found_after);
-    if (p.stopped_after) stopped.push_back(*p.stopped_after);
-    untold += p.told ? 0 : 1;
-    unstopped += p.stopped_after ? 0 : 1;
-    intake.push_back(p.worst_intake);
-    lost.push_back(static_cast<double>(p.lost) /
+    if (p.verdict_time_s) told.push_back(*p.verdict_time_s);
+    if (p.detection_delay_s) found.push_back(*p.detection_delay_s);
+    if (p.stop_delay_s) stopped.push_back(*p.stop_delay_s);
+    untold += p.verdict_time_s ? 0 : 1;
+    unstopped += p.stop_delay_s ? 0 : 1;
+    intake.push_back(p.max_messages_per_s);
+    lost.push_back(static_cast<double>(p.lost_copies) /
                    static_cast<double>(std::max<std::uint64_t>(1, p.copies)));
-    records = std::max(records, p.records);
-    exceeded = exceeded || p.exceeded;
+    records = std::max(records, p.record_keys);
+    exceeded = exceeded || p.has_overcount;
   }
   bool kept = !exceeded;
   std::printf("| %s | %s | %u | ", c.name, c.what, number);
--- a/src/world/lease_fleet.hpp
+++ b/src/world/lease_fleet.hpp
@@ -34,7 +34,7 @@
     Duration view_delay = std::chrono::seconds(
         8);  // without membership: until a view shows that a node is unreachable
     Duration max_clock_skew = std::chrono::milliseconds(50);  // between the clocks of two nodes
-    Duration max_call_delay{};  // by which quota calls delay a counter call of a lease
+    Duration max_call_delay{};  // of a lease's counter call behind quota calls; 0: no delay
     bool uses_fencing = true;   // receivers refuse older epochs
     std::uint64_t seed = 1;
   };
--- a/src/world/record_cases.hpp
+++ b/src/world/record_cases.hpp
@@ -1,5 +1,6 @@
-// What docs/records.md states of records, played on a fleet: each case gives figures by name, a
-// value for each trial.
+// The test cases of the replicated store: each runs a simulated fleet and returns metrics by name,
+// with a value for each trial. docs/records.md states the results; the lab's `records` command runs
+// the cases.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +12,23 @@
 
 namespace petrelrail::world {
 
-struct RecordCaseTerms {
+struct RecordCaseConfig {
   std::uint32_t nodes = 300, zones = 3;
   double loss = 0.05;
-  double news_per_s = 5, pull_per_s = 10;
-  std::uint32_t trials = 10;  // of a fleet
+  double gossip_per_s = 5, pull_per_s = 10;
+  std::uint32_t trials = 10;  // in one run of a fleet
   std::uint64_t seed = 1;
 };
-// Times in seconds. `lost` is 1 for a trial in which a record that was called safe is known to
-// nobody, else 0.
-using RecordFigures = std::map<std::string, std::vector<double>>;
+// Times are in seconds. `lost` is 1 for a trial in which no node holds a record that was reported
+// as replicated, else 0.
+using RecordCaseResult = std::map<std::string, std::vector<double>>;
 
 struct RecordCase {
   std::string name;
-  RecordFigures (*play)(const RecordCaseTerms& terms);
+  RecordCaseResult (*run)(const RecordCaseConfig& config);
 };
 const std::vector<RecordCase>& record_cases();
-// What the terms make of the fleet's.
-fleet::ReplicatedStoreConfig terms_of(const RecordCaseTerms& terms);
+// Returns the configuration of the store of every node.
+fleet::ReplicatedStoreConfig store_config(const RecordCaseConfig& config);
 
 }  // namespace petrelrail::world
--- a/src/world/record_fleet.cpp
+++ b/src/world/record_fleet.cpp
@@ -8,10 +8,9 @@
 using namespace std::chrono_literals;
 using fleet::MemberId;
 
-// Any time that is no multiple of a slot or a term serves as the beginning.
-constexpr Time kBegins{Duration(1'700'000'000'123'456'789)};
-constexpr std::size_t
-    kMostWaiting = 512;  // datagrams in the socket's buffer of a node that is stalled
+// Arbitrary, but no multiple of a slot or a term.
+constexpr Time kStartTime{Duration(1'700'000'000'123'456'789)};
+constexpr std::size_t kMaxInbox = 512;  // datagrams in the socket buffer of a stalled node
 
 MemberId id(std::uint32_t n) { return MemberId(static_cast<std::uint16_t>(n)); }
 
@@ -20,26 +19,26 @@
 RecordFleet::RecordFleet(Options options)
     : options_(std::move(options)),
       dice_(mix_hash(options_.seed)),
-      agenda_(kBegins +
+      agenda_(kStartTime +
               Duration(static_cast<Duration::rep>(mix_hash(options_.seed) % 1'000'000'000))),
       network_(options_.peers, options_.nodes, dice_.stream("peers")),
       nodes_(options_.nodes) {
-  options_.terms.nodes = options_.nodes;
-  auto clocks = dice_.stream("clocks");
+  options_.config.nodes = options_.nodes;
+  auto clock_dice = dice_.stream("clocks");
   for (auto& n : nodes_)
-    n.offset = scaled(options_.terms.max_clock_skew, clocks.between(-0.5, 0.5));
+    n.clock_offset = scaled(options_.config.max_clock_skew, clock_dice.between(-0.5, 0.5));
 }
 
 void RecordFleet::start_with(std::uint32_t node, const fleet::ReplicatedStore::Snapshot& state) {
   auto& n = nodes_[node];
-  const auto seed = dice_.stream("life", mix_hash(node) + ++n.lives).seed();
-  n.stalled = false, n.inbox.clear(), n.ticks_at = Time::max();
-  n.records = std::make_unique<fleet::ReplicatedStore>(options_.terms, id(node),
-                                                       static_cast<std::uint8_t>(zone(node)), seed);
-  n.records->restore(clock(node), state);
-  n.records->start(clock(node));
-  views_change();
-  after(node);
+  const auto seed = dice_.stream("life", mix_hash(node) + ++n.generation).seed();
+  n.stalled = false, n.inbox.clear(), n.tick_time = Time::max();
+  n.store = std::make_unique<fleet::ReplicatedStore>(options_.config, id(node),
+                                                     static_cast<std::uint8_t>(zone(node)), seed);
+  n.store->restore(local_time(node), state);
+  n.store->start(local_time(node));
+  schedule_views();
+  drain_outputs(node);
 }
 
 void RecordFleet::start_all() {
@@ -47,87 +46,88 @@
 }
 
 void RecordFleet::kill(std::uint32_t node) {
-  nodes_[node].records.reset();
-  ++nodes_[node].lives;
-  views_change();
+  nodes_[node].store.reset();
+  ++nodes_[node].generation;
+  schedule_views();
 }
 
 void RecordFleet::stall(std::uint32_t node, bool stalled) {
   auto& n = nodes_[node];
-  if (!n.records || std::exchange(n.stalled, stalled) == stalled || stalled) return;
+  if (!n.store || std::exchange(n.stalled, stalled) == stalled || stalled) return;
   tick(node);
-  for (; !n.inbox.empty() && n.records; n.inbox.pop_front())
-    take(n.inbox.front().first, node, n.inbox.front().second);
-  after(node);
+  for (; !n.inbox.empty() && n.store; n.inbox.pop_front())
+    deliver(n.inbox.front().first, node, n.inbox.front().second);
+  drain_outputs(node);
 }
 
-void RecordFleet::cut(Lost lost) {
-  lost_ = std::move(lost);
-  views_change();
+void RecordFleet::set_link_filter(LinkFilter drops) {
+  drops_ = std::move(drops);
+  schedule_views();
 }
 
-// One change is shown for all that happen at its time.
-void RecordFleet::views_change() {
+// Delivers views once for all changes that occur at the same time.
+void RecordFleet::schedule_views() {
   const Time when = now() + options_.view_delay;
-  if (std::exchange(views_at_, when) != when) agenda_.at(when, [this] { show_views(); });
+  if (std::exchange(view_time_, when) != when) agenda_.at(when, [this] { deliver_views(); });
 }
 
-void RecordFleet::show_views() {
-  const auto sees = [&](std::uint32_t a, std::uint32_t b) {
-    return up(b) && (!lost_ || (!lost_(a, b) && !lost_(b, a)));
+void RecordFleet::deliver_views() {
+  const auto reaches = [&](std::uint32_t a, std::uint32_t b) {
+    return is_up(b) && (!drops_ || (!drops_(a, b) && !drops_(b, a)));
   };
   for (std::uint32_t a = 0; a < size(); ++a) {
-    if (!up(a)) continue;
+    if (!is_up(a)) continue;
     fleet::MembershipView view;
-    auto seats = std::make_shared<std::vector<fleet::MembershipView::Member>>(size());
-    std::uint32_t known = 0, there = 0;
+    auto members = std::make_shared<std::vector<fleet::MembershipView::Member>>(size());
+    std::uint32_t known = 0, living = 0;
     for (std::uint32_t b = 0; b < size(); ++b) {
-      auto& s = (*seats)[b];
-      if (nodes_[b].lives == 0) continue;
-      const bool lives = a == b || sees(a, b);
-      s.state = {1, lives ? fleet::MemberStatus::alive : fleet::MemberStatus::failed, 1};
+      auto& s = (*members)[b];
+      if (nodes_[b].generation == 0) continue;
+      const bool is_alive = a == b || reaches(a, b);
+      s.state = {1, is_alive ? fleet::MemberStatus::alive : fleet::MemberStatus::failed, 1};
       s.zone = static_cast<std::uint8_t>(zone(b));
-      ++known, there += lives;
+      ++known, living += is_alive;
     }
-    view.living = there;
-    view.reachability = 2 * there > known ? fleet::Reachability::majority
-                        : there > 1       ? fleet::Reachability::minority
-                                          : fleet::Reachability::alone;
-    view.members = std::move(seats);
-    nodes_[a].records->on_view_changed(clock(a), view);
-    after(a);
+    view.living = living;
+    view.reachability = 2 * living > known ? fleet::Reachability::majority
+                        : living > 1       ? fleet::Reachability::minority
+                                           : fleet::Reachability::alone;
+    view.members = std::move(members);
+    nodes_[a].store->on_view_changed(local_time(a), view);
+    drain_outputs(a);
   }
 }
 
 std::uint64_t RecordFleet::epoch() const {
-  const auto& t = options_.terms;
-  return static_cast<std::uint64_t>(now().time_since_epoch() / t.term) * t.epochs_per_term;
+  const auto& config = options_.config;
+  return static_cast<std::uint64_t>(now().time_since_epoch() / config.term) *
+         config.epochs_per_term;
 }
 
 fleet::ReplicatedStore::PutResult RecordFleet::put(std::uint32_t node, fleet::RecordKey key,
-                                                   std::string value, Duration life) {
-  const auto ends = std::chrono::duration_cast<std::chrono::seconds>(
-                        (now() + life).time_since_epoch())
-                        .count();
-  const auto put = records(node).put(clock(node), key, epoch(), static_cast<std::uint32_t>(ends),
-                                     std::move(value));
-  after(node);
-  return put;
+                                                   std::string value, Duration ttl) {
+  const auto end_unix_s = std::chrono::duration_cast<std::chrono::seconds>(
+                              (now() + ttl).time_since_epoch())
+                              .count();
+  const auto result = store(node).put(local_time(node), key, epoch(),
+                                      static_cast<std::uint32_t>(end_unix_s), std::move(value));
+  drain_outputs(node);
+  return result;
 }
 
 fleet::ReplicatedStore::PutResult RecordFleet::erase(std::uint32_t node, fleet::RecordKey key) {
-  const auto put = records(node).erase(clock(node), key, epoch());
-  after(node);
-  return put;
+  const auto result = store(node).erase(local_time(node), key, epoch());
+  drain_outputs(node);
+  return result;
 }
 
-void RecordFleet::mark(std::uint32_t node, std::uint8_t space) {
-  records(node).write_watermark(clock(node), space, epoch());
-  after(node);
+void RecordFleet::write_watermark(std::uint32_t node, std::uint8_t space) {
+  store(node).write_watermark(local_time(node), space, epoch());
+  drain_outputs(node);
 }
 
 void RecordFleet::inject(std::uint32_t from, std::uint32_t to, const fleet::Message& message) {
-  agenda_.after({}, [this, from, to, b = fleet::encode(message, {})] { arrive(from, to, b); });
+  agenda_.after({}, [this, from, to, b = fleet::encode(message, {})] { on_arrival(from, to, b); });
 }
 
 const RecordFleet::Outcome* RecordFleet::outcome(std::uint32_t node, std::uint64_t ticket) const {
@@ -136,78 +136,82 @@
   return it == outcomes_.end() ? nullptr : &*it;
 }
 
-void RecordFleet::arrive(std::uint32_t from, std::uint32_t to, const std::string& bytes) {
+void RecordFleet::on_arrival(std::uint32_t from, std::uint32_t to, const std::string& bytes) {
   auto& n = nodes_[to];
-  if (!n.records) return;
-  while (!n.came.empty() && n.came.front() <= now() - 1s) n.came.pop_front();
-  n.came.push_back(now());
-  n.most_in = std::max<std::uint64_t>(n.most_in, n.came.size());
+  if (!n.store) return;
+  while (!n.recent_arrivals.empty() && n.recent_arrivals.front() <= now() - 1s)
+    n.recent_arrivals.pop_front();
+  n.recent_arrivals.push_back(now());
+  n.max_arrivals_per_s = std::max<std::uint64_t>(n.max_arrivals_per_s, n.recent_arrivals.size());
   if (!network_.take(now(), to)) return;
   if (n.stalled) {
-    if (n.inbox.size() < kMostWaiting) n.inbox.emplace_back(from, bytes);
+    if (n.inbox.size() < kMaxInbox) n.inbox.emplace_back(from, bytes);
     return;
   }
-  take(from, to, bytes);
-  after(to);
+  deliver(from, to, bytes);
+  drain_outputs(to);
 }
 
-void RecordFleet::take(std::uint32_t from, std::uint32_t to, const std::string& bytes) {
-  const auto read = fleet::decode(
+void RecordFleet::deliver(std::uint32_t from, std::uint32_t to, const std::string& bytes) {
+  const auto decoded = fleet::decode(
       {reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()}, {});
-  if (read.error == fleet::DecodeError::none)
-    nodes_[to].records->receive(clock(to), id(from), read.message);
+  if (decoded.error == fleet::DecodeError::none)
+    nodes_[to].store->receive(local_time(to), id(from), decoded.message);
 }
 
-// What a node has to say goes out, and its next tick is set.
-void RecordFleet::after(std::uint32_t node) {
+// Records write outcomes, sends outgoing datagrams and schedules the next tick of a node.
+void RecordFleet::drain_outputs(std::uint32_t node) {
   auto& n = nodes_[node];
-  for (const auto& o : n.records->drain_outcomes())
+  for (const auto& o : n.store->drain_outcomes())
     outcomes_.push_back({node, o.ticket, o.is_replicated, now()});
-  for (auto& o : n.records->drain_outgoing()) {
-    ++n.sent;
+  for (auto& o : n.store->drain_outgoing()) {
+    ++n.datagrams_sent;
     const auto to = static_cast<std::uint32_t>(o.to);
     fleet::Message message{{id(node), 1, 1, static_cast<std::uint8_t>(zone(node)), o.echo, 0},
                            std::move(o.body)};
     auto bytes = fleet::encode(message, {});
-    if (to >= size() || network_.too_long(bytes.size()) || (lost_ && lost_(node, to))) continue;
+    if (to >= size() || network_.too_long(bytes.size()) || (drops_ && drops_(node, to))) continue;
     for (const Time when : network_.send(now()))
-      agenda_.at(when, [this, node, to, bytes] { arrive(node, to, bytes); });
+      agenda_.at(when, [this, node, to, bytes] { on_arrival(node, to, bytes); });
   }
-  const Time due = n.records->next_tick_time();
-  if (due == Time::max() || due == n.ticks_at) return;
-  n.ticks_at = due;
-  agenda_.at(due - n.offset, [this, node, due, life = n.lives] {
-    if (nodes_[node].lives != life || nodes_[node].ticks_at != due || nodes_[node].stalled) return;
+  const Time due = n.store->next_tick_time();
+  if (due == Time::max() || due == n.tick_time) return;
+  n.tick_time = due;
+  agenda_.at(due - n.clock_offset, [this, node, due, generation = n.generation] {
+    if (nodes_[node].generation != generation || nodes_[node].tick_time != due ||
+        nodes_[node].stalled)
+      return;
     tick(node);
-    after(node);
+    drain_outputs(node);
   });
 }
 
 void RecordFleet::tick(std::uint32_t node) {
   auto& n = nodes_[node];
-  n.ticks_at = Time::max();
-  if (n.records && n.records->next_tick_time() <= clock(node)) n.records->tick(clock(node));
+  n.tick_time = Time::max();
+  if (n.store && n.store->next_tick_time() <= local_time(node)) n.store->tick(local_time(node));
 }
 
-bool RecordFleet::run_until(const std::function<bool()>& holds, Duration most, Duration step) {
-  const Time end = now() + most;
-  while (!holds()) {
+bool RecordFleet::run_until(const std::function<bool()>& condition, Duration timeout,
+                            Duration step) {
+  const Time end = now() + timeout;
+  while (!condition()) {
     if (now() >= end) return false;
     run_for(std::min(step, end - now()));
   }
   return true;
 }
 
-bool RecordFleet::agreed(std::uint8_t space) const {
-  const auto of = [&](std::uint32_t n) {
+bool RecordFleet::stores_agree(std::uint8_t space) const {
+  const auto records_of = [&](std::uint32_t n) {
     std::vector<fleet::Record> all;
-    records(n).for_each(space, [&](const fleet::Record& r) { all.push_back(r); });
+    store(n).for_each(space, [&](const fleet::Record& r) { all.push_back(r); });
     return all;
   };
   std::optional<std::vector<fleet::Record>> first;
   for (std::uint32_t n = 0; n < size(); ++n) {
-    if (!up(n)) continue;
-    auto all = of(n);
+    if (!is_up(n)) continue;
+    auto all = records_of(n);
     if (!first)
       first = std::move(all);
     else if (*first != all)
@@ -216,24 +220,24 @@
   return true;
 }
 
-std::uint32_t RecordFleet::holders(fleet::RecordKey key) const {
+std::uint32_t RecordFleet::holder_count(fleet::RecordKey key) const {
   std::uint32_t count = 0;
-  for (std::uint32_t n = 0; n < size(); ++n) count += up(n) && records(n).find(key) != nullptr;
+  for (std::uint32_t n = 0; n < size(); ++n) count += is_up(n) && store(n).find(key) != nullptr;
   return count;
 }
 
-std::uint64_t RecordFleet::most_in() const {
+std::uint64_t RecordFleet::max_arrivals_per_s() const {
   std::uint64_t most = 0;
-  for (const auto& n : nodes_) most = std::max(most, n.most_in);
+  for (const auto& n : nodes_) most = std::max(most, n.max_arrivals_per_s);
   return most;
 }
-std::uint64_t RecordFleet::sent() const {
+std::uint64_t RecordFleet::datagrams_sent() const {
   std::uint64_t all = 0;
-  for (const auto& n : nodes_) all += n.sent;
+  for (const auto& n : nodes_) all += n.datagrams_sent;
   return all;
 }
 void RecordFleet::reset_traffic() {
-  for (auto& n : nodes_) n.sent = n.most_in = 0, n.came.clear();
+  for (auto& n : nodes_) n.datagrams_sent = n.max_arrivals_per_s = 0, n.recent_arrivals.clear();
 }
 
 }  // namespace petrelrail::world
--- a/src/world/record_fleet.hpp
+++ b/src/world/record_fleet.hpp
@@ -1,7 +1,8 @@
-// A fleet that keeps records, on one simulated clock: the real src/fleet/records of every node,
-// between them the peer network of the world with cuts, stalls, deaths and starts from nothing, and
-// in place of members a view that follows what is so after a delay. Each node's clock is off by its
-// own part of the bound. The same seed gives the same course.
+// Simulates a fleet that runs the replicated store: the src/fleet ReplicatedStore of every node and
+// the peer network between them on one simulated clock. Injects partitions, stalls, crashes and
+// starts without data; each node's clock has its own skew within the bound. In place of the
+// membership protocol, views follow the true state after a delay. Single-threaded; the same seed
+// gives the same run.
 #pragma once
 
 #include <deque>
@@ -22,90 +23,91 @@
   struct Options {
     std::uint32_t nodes = 300, zones = 3;
     PeerTerms peers{};
-    fleet::ReplicatedStoreConfig terms{};  // `nodes` follows from the above
+    fleet::ReplicatedStoreConfig config{};  // the constructor sets `nodes`
     Duration view_delay = std::chrono::milliseconds(2500);
     std::uint64_t seed = 1;
   };
-  // Which datagrams between two nodes are lost besides by chance.
-  using Lost = std::function<bool(std::uint32_t from, std::uint32_t to)>;
+  // Whether a datagram between two nodes is dropped, besides random loss.
+  using LinkFilter = std::function<bool(std::uint32_t from, std::uint32_t to)>;
 
   explicit RecordFleet(Options options);
 
   std::uint32_t size() const { return options_.nodes; }
   std::uint32_t zone(std::uint32_t node) const { return node % options_.zones; }
   Time now() const { return agenda_.now(); }
-  Time clock(std::uint32_t node) const {
-    return now() + nodes_[node].offset;
-  }  // as the node reads it
+  Time local_time(std::uint32_t node) const { return now() + nodes_[node].clock_offset; }
 
-  // From nothing; one that is up is started anew, as if it had been killed at that moment.
+  // Starts a process without data; kills the node's present process first.
   void start(std::uint32_t node) { start_with(node, {}); }
-  // With what a predecessor held.
+  // Starts a process with the hand-over state of a predecessor.
   void start_with(std::uint32_t node, const fleet::ReplicatedStore::Snapshot& state);
   void start_all();
   void kill(std::uint32_t node);
   void stall(std::uint32_t node, bool stalled);
-  bool up(std::uint32_t node) const { return nodes_[node].records != nullptr; }
-  void cut(Lost lost);  // none: healed
+  bool is_up(std::uint32_t node) const { return nodes_[node].store != nullptr; }
+  void set_link_filter(LinkFilter drops);  // an empty function drops none
 
-  fleet::ReplicatedStore& records(std::uint32_t node) { return *nodes_[node].records; }
-  const fleet::ReplicatedStore& records(std::uint32_t node) const { return *nodes_[node].records; }
-  // Of a write that this node makes now, with the node's clock; its epoch is the term's that runs,
-  // ends so long ahead.
+  fleet::ReplicatedStore& store(std::uint32_t node) { return *nodes_[node].store; }
+  const fleet::ReplicatedStore& store(std::uint32_t node) const { return *nodes_[node].store; }
+  // Writes a record at this node at its local time, under the epoch of the present term. The record
+  // expires after `ttl`.
   fleet::ReplicatedStore::PutResult put(std::uint32_t node, fleet::RecordKey key, std::string value,
-                                        Duration life = std::chrono::hours(1));
+                                        Duration ttl = std::chrono::hours(1));
   fleet::ReplicatedStore::PutResult erase(std::uint32_t node, fleet::RecordKey key);
-  void mark(std::uint32_t node, std::uint8_t space);
+  void write_watermark(std::uint32_t node, std::uint8_t space);
   std::uint64_t epoch() const;
-  // A message as if it came from a node's address.
+  // Delivers a message as a datagram from a node's address.
   void inject(std::uint32_t from, std::uint32_t to, const fleet::Message& message);
 
   struct Outcome {
     std::uint32_t node = 0;
     std::uint64_t ticket = 0;
-    bool safe = false;
-    Time at{};
+    bool is_replicated = false;
+    Time time{};
   };
   const std::vector<Outcome>& outcomes() const { return outcomes_; }
-  // None: there is none yet.
+  // Returns nullptr while the write is in flight.
   const Outcome* outcome(std::uint32_t node, std::uint64_t ticket) const;
 
   void run_for(Duration span) { agenda_.run_until(now() + span); }
-  // Runs until it holds, looked at every `step`; false: it did not within `most`.
-  bool run_until(const std::function<bool()>& holds, Duration most,
+  // Runs until `condition` holds, which is evaluated every `step`; returns false if it does not
+  // within `timeout`.
+  bool run_until(const std::function<bool()>& condition, Duration timeout,
                  Duration step = std::chrono::milliseconds(50));
-  // Whether all nodes that are up show the same live records of a space.
-  bool agreed(std::uint8_t space) const;
-  std::uint32_t holders(fleet::RecordKey key) const;  // nodes that are up and show it
+  // Whether all running nodes hold the same live records of a space.
+  bool stores_agree(std::uint8_t space) const;
+  std::uint32_t holder_count(fleet::RecordKey key) const;  // running nodes that hold the record
 
-  std::uint64_t most_in() const;  // datagrams that came to a node in any one second, the worst one
-  std::uint64_t sent() const;
+  // Returns the most datagrams that arrived at one node within any one second.
+  std::uint64_t max_arrivals_per_s() const;
+  std::uint64_t datagrams_sent() const;
   void reset_traffic();
 
  private:
   struct Node {
-    std::unique_ptr<fleet::ReplicatedStore> records;
-    Duration offset{};
-    std::uint64_t lives = 0, most_in = 0, sent = 0;
+    std::unique_ptr<fleet::ReplicatedStore> store;
+    Duration clock_offset{};
+    std::uint64_t generation = 0, max_arrivals_per_s = 0,
+                  datagrams_sent = 0;  // generation: rises with each start and kill
     bool stalled = false;
-    Time ticks_at = Time::max();
-    std::deque<Time> came;
-    std::deque<std::pair<std::uint32_t, std::string>> inbox;  // of one that is stalled
+    Time tick_time = Time::max();
+    std::deque<Time> recent_arrivals;
+    std::deque<std::pair<std::uint32_t, std::string>> inbox;  // during a stall
   };
-  void arrive(std::uint32_t from, std::uint32_t to, const std::string& bytes);
-  void take(std::uint32_t from, std::uint32_t to, const std::string& bytes);
-  void after(std::uint32_t node);
+  void on_arrival(std::uint32_t from, std::uint32_t to, const std::string& bytes);
+  void deliver(std::uint32_t from, std::uint32_t to, const std::string& bytes);
+  void drain_outputs(std::uint32_t node);
   void tick(std::uint32_t node);
-  void views_change();  // in a while
-  void show_views();
+  void schedule_views();  // delivers them after view_delay
+  void deliver_views();
 
   Options options_;
   Dice dice_;
   Agenda agenda_;
   PeerNetwork network_;
   std::vector<Node> nodes_;
-  Lost lost_;
-  Time views_at_{};
+  LinkFilter drops_;
+  Time view_time_{};
   std::vector<Outcome> outcomes_;
 };
 
--- a/src/world/shadow_trial.cpp
+++ b/src/world/shadow_trial.cpp
@@ -19,311 +19,329 @@
 
 using namespace fleet;
 
-// Bursts: a shard's values are being published for a fiftieth of its lookups, and then many differ
-// whatever the route.
-constexpr double kBurst = 0.02;
+// A shard is in a burst, while its values are being published, for a fiftieth of its lookups; many
+// of these differ at either route.
+constexpr double kBurstShare = 0.02;
 constexpr std::uint32_t kBurstLookups = 200;
-constexpr double kMeanTook = 0.004, kSpreadTook = 1.0;  // seconds, coefficient of variation
+constexpr double kMeanLatencyS = 0.004, kLatencyVariation = 1.0;  // coefficient of variation
 constexpr double kSlowFactor = 8;
 
-// How one copy ends at each route. A publication lasts for lookups in a row, so that events come in
-// heaps.
-class Endings {
+// Draws the result of each copy at either route. A burst lasts for consecutive lookups of a shard,
+// so differences are clustered.
+class CopyOutcomes {
  public:
-  Endings(const ShadowTruth& truth, Dice dice)
-      : truth_(truth), dice_(dice), bursts_(truth.shards) {}
+  CopyOutcomes(const ShadowGroundTruth& truth, Dice dice)
+      : truth_(truth), dice_(dice), burst_lookups_left_(truth.shards) {}
 
-  struct End {
+  struct Outcome {
     bool failed = false, differs = false;
-    Duration took{};
+    Duration latency{};
   };
-  End end(std::uint32_t shard, Copy half) {
-    auto& burst = bursts_[shard];
+  Outcome draw(std::uint32_t shard, Copy route) {
+    auto& burst = burst_lookups_left_[shard];
     if (burst > 0)
       --burst;
-    else if (dice_.chance(kBurst / kBurstLookups))
+    else if (dice_.chance(kBurstShare / kBurstLookups))
       burst = kBurstLookups;
-    const bool candidate = half == Copy::candidate &&
-                           (!truth_.only_shard || *truth_.only_shard == shard);
-    End e;
-    e.failed = dice_.chance(truth_.failing) || (candidate && dice_.chance(truth_.fails));
-    e.differs = (burst > 0 && dice_.chance(std::min(1.0, truth_.published / kBurst))) ||
-                (candidate && dice_.chance(truth_.differs));
-    double took = dice_.lognormal(kMeanTook, kSpreadTook);
-    if (candidate && truth_.slower > 0 && dice_.chance(truth_.slower)) took *= kSlowFactor;
-    e.took = from_seconds(took);
+    const bool is_affected = route == Copy::candidate &&
+                             (!truth_.affected_shard || *truth_.affected_shard == shard);
+    Outcome e;
+    e.failed = dice_.chance(truth_.failing_share) ||
+               (is_affected && dice_.chance(truth_.candidate_failing_share));
+    e.differs = (burst > 0 && dice_.chance(std::min(1.0, truth_.published_share / kBurstShare))) ||
+                (is_affected && dice_.chance(truth_.candidate_differing_share));
+    double latency_s = dice_.lognormal(kMeanLatencyS, kLatencyVariation);
+    if (is_affected && truth_.candidate_slow_share > 0 && dice_.chance(truth_.candidate_slow_share))
+      latency_s *= kSlowFactor;
+    e.latency = from_seconds(latency_s);
     return e;
   }
 
  private:
-  ShadowTruth truth_;
+  ShadowGroundTruth truth_;
   Dice dice_;
-  std::vector<std::uint32_t> bursts_;
+  std::vector<std::uint32_t> burst_lookups_left_;
 };
 
-void put(Sum& sum, Copy half, const Endings::End& e) {
-  auto& h = half == Copy::candidate ? sum.candidate : sum.control;
+void add_copy(Sum& sum, Copy route, const CopyOutcomes::Outcome& e) {
+  auto& h = route == Copy::candidate ? sum.candidate : sum.control;
   if (e.failed) {
     ++h.failed;
     return;
   }
-  ++h.times[bin_of(e.took)];
+  ++h.times[bin_of(e.latency)];
   h.differs += e.differs ? 1 : 0;
 }
 
 }  // namespace
 
-TrialOutcome play_trial(const TrialTerms& terms, std::uint64_t seed) {
+ShadowTrialResult run_shadow_trial(const ShadowTrialConfig& config, std::uint64_t seed) {
   const Dice all(seed);
   auto dice = all.stream("copies");
-  Endings endings(terms.truth, all.stream("ends"));
-  const auto shards = terms.truth.shards;
-  std::vector<double> up_to(shards);  // parts of traffic, added up
-  double whole = 0;
-  for (std::uint32_t s = 0; s < shards; ++s) up_to[s] = whole += 1.0 / (8 + s);
+  CopyOutcomes outcomes(config.truth, all.stream("ends"));
+  const auto shards = config.truth.shards;
+  std::vector<double> cumulative_weights(shards);  // of traffic
+  double total_weight = 0;
+  for (std::uint32_t s = 0; s < shards; ++s) cumulative_weights[s] = total_weight += 1.0 / (8 + s);
   SumTable sums(1, shards);
   std::vector<Sum> counted(shards);
   Verdicts verdicts(1, shards);
-  TrialOutcome outcome;
-  auto gap = static_cast<double>(terms.look_every), look = gap;
-  std::uint32_t looks = 0;
-  while (outcome.copies < terms.most_copies && verdicts.of_map() == MapFinding::undecided) {
+  ShadowTrialResult result;
+  auto interval = static_cast<double>(config.copies_per_evaluation), next_evaluation = interval;
+  std::uint32_t evaluations = 0;
+  while (result.copies < config.max_copies && verdicts.of_map() == MapFinding::undecided) {
     const auto shard = static_cast<std::uint32_t>(
-        std::ranges::upper_bound(up_to, dice.part() * whole) - up_to.begin());
+        std::ranges::upper_bound(cumulative_weights, dice.part() * total_weight) -
+        cumulative_weights.begin());
     if (shard >= shards || verdicts.ended(shard)) continue;
-    const auto half = dice.chance(0.5) ? Copy::candidate : Copy::control;
-    put(counted[shard], half, endings.end(shard, half));
-    if (static_cast<double>(++outcome.copies) < look) continue;
-    if (++looks > 100) gap = std::max(gap, 0.02 * look);
-    look += gap;
+    const auto route = dice.chance(0.5) ? Copy::candidate : Copy::control;
+    add_copy(counted[shard], route, outcomes.draw(shard, route));
+    if (static_cast<double>(++result.copies) < next_evaluation) continue;
+    if (++evaluations > 100) interval = std::max(interval, 0.02 * next_evaluation);
+    next_evaluation += interval;
     for (std::uint32_t s = 0; s < shards; ++s) sums.take({}, s, counted[s]);
-    for (const auto& spoken : findings(1, sums, verdicts, {})) verdicts.take(spoken);
+    for (const auto& verdict : findings(1, sums, verdicts, {})) verdicts.take(verdict);
   }
-  outcome.map = verdicts.of_map();
+  result.map = verdicts.of_map();
   for (std::uint32_t s = 0; s < shards; ++s) {
-    outcome.bad_shards += verdicts.of(s) > Finding::same ? 1 : 0;
-    outcome.same_shards += verdicts.of(s) == Finding::same ? 1 : 0;
+    result.worse_shards += verdicts.of(s) > Finding::same ? 1 : 0;
+    result.same_shards += verdicts.of(s) == Finding::same ? 1 : 0;
   }
-  return outcome;
+  return result;
 }
 
 namespace {
 
 constexpr std::uint8_t kSumSpace = 1;
-constexpr Duration kTick = std::chrono::milliseconds(50);    // lookups come in heaps of this
-constexpr Duration kJudge = std::chrono::milliseconds(250);  // between looks of the holder
-constexpr std::array kTellings = {0.0, 0.25,
-                                  0.75};  // seconds after a verdict at which all are told
+constexpr Duration kTick = std::chrono::milliseconds(
+    50);  // lookups are simulated in batches of this length
+constexpr Duration kVerdictInterval = std::chrono::milliseconds(
+    250);  // between evaluations by the holder
+constexpr std::array kAnnouncementDelaysS = {
+    0.0, 0.25, 0.75};  // seconds after a verdict at which the holder announces it to all nodes
 constexpr std::uint32_t kPaths = 50'000;
 
 class ShadowFleet final : CellView {
  public:
-  ShadowFleet(const ShadowFleetTerms& terms, std::uint64_t seed)
-      : terms_(terms),
+  ShadowFleet(const ShadowFleetConfig& config, std::uint64_t seed)
+      : config_(config),
         dice_(Dice(seed).stream("fleet")),
-        wire_(Dice(seed).stream("wire")),
-        endings_(terms.truth, Dice(seed).stream("ends")),
-        made_(terms.truth.shards),
-        intake_(terms.nodes) {
+        network_dice_(Dice(seed).stream("wire")),
+        copy_outcomes_(config.truth, Dice(seed).stream("ends")),
+        actual_sums_(config.truth.shards),
+        accepted_messages_(config.nodes) {
     ShadowTerms t;
-    t.map.slots = terms.truth.shards;
-    t.map.map = {{0, terms.truth.shards - 1, 1}};
-    t.map.slice_ppm = terms.slice_ppm;
-    t.extra_work = terms.extra_work;
-    for (std::uint32_t n = 0; n < terms.nodes; ++n) {
-      living_.push_back({MemberId(static_cast<std::uint16_t>(n)), 1});
-      nodes_.push_back(std::make_unique<Shadow>(t, terms.nodes, living_.back()));
+    t.map.slots = config.truth.shards;
+    t.map.map = {{0, config.truth.shards - 1, 1}};
+    t.map.slice_ppm = config.slice_ppm;
+    t.extra_work = config.extra_work;
+    for (std::uint32_t n = 0; n < config.nodes; ++n) {
+      living_nodes_.push_back({MemberId(static_cast<std::uint16_t>(n)), 1});
+      nodes_.push_back(std::make_unique<Shadow>(t, config.nodes, living_nodes_.back()));
     }
-    // Paths that all nodes look up alike; only those of the slice matter.
+    // All nodes look up the same paths; only paths of the slice are simulated.
     for (std::uint32_t p = 0; p < kPaths; ++p) {
       auto path = "/prices/" + std::to_string(seed) + "/" + std::to_string(p);
       if (nodes_[0]->map().in_slice(path)) paths_.push_back(std::move(path));
     }
-    view();
+    update_membership();
   }
 
-  ShadowFleetOutcome play() {
-    for (; seconds(now_ - Time{}) < terms_.seconds; now_ += kTick) {
+  ShadowFleetResult run() {
+    for (; seconds(now_ - Time{}) < config_.duration_s; now_ += kTick) {
       if (seconds(now_ - Time{}) >= next_second_) next_second();
-      if (terms_.ends_at > 0 && !ended_ && seconds(now_ - Time{}) >= terms_.ends_at) end_some();
-      for (const auto& o : living_) lookups(o);
-      for (const auto& o : living_) speak_and_hear(o);
+      if (config_.crash_time_s > 0 && !has_crashed_ &&
+          seconds(now_ - Time{}) >= config_.crash_time_s)
+        crash_nodes();
+      for (const auto& o : living_nodes_) run_lookups(o);
+      for (const auto& o : living_nodes_) exchange_statistics(o);
       deliver();
-      watch();
-      if ((now_ - Time{}) % kJudge == Duration{}) judge();
-      if (done()) break;
+      check_detection();
+      if ((now_ - Time{}) % kVerdictInterval == Duration{}) publish_verdicts();
+      if (is_done()) break;
     }
-    close();
-    return outcome_;
+    finish();
+    return result_;
   }
 
  private:
   bool usable(std::uint32_t) const override { return true; }
   bool second_server() const override { return true; }
   Shadow& at(const Origin& o) { return *nodes_[index_of(o.node)]; }
-  bool alive(const Origin& o) const { return std::ranges::find(living_, o) != living_.end(); }
-  bool done() const {
-    if (terms_.truth.fails > 0.5) return outcome_.stopped_after.has_value();
-    return outcome_.told.has_value();
+  bool is_alive(const Origin& o) const {
+    return std::ranges::find(living_nodes_, o) != living_nodes_.end();
+  }
+  bool is_done() const {
+    if (config_.truth.candidate_failing_share > 0.5) return result_.stop_delay_s.has_value();
+    return result_.verdict_time_s.has_value();
   }
 
-  void view() {
-    for (const auto& o : living_) {
-      at(o).keeper().living(now_, living_);
-      at(o).keeper().listeners(std::span(living_).first(std::min<std::size_t>(2, living_.size())));
+  void update_membership() {
+    for (const auto& o : living_nodes_) {
+      at(o).keeper().living(now_, living_nodes_);
+      at(o).keeper().listeners(
+          std::span(living_nodes_).first(std::min<std::size_t>(2, living_nodes_.size())));
     }
   }
-  // The holder and a tenth of the others, untold; the fleet learns of it at once (members' part is
-  // measured elsewhere).
-  void end_some() {
-    ended_ = true;
-    std::erase_if(living_,
-                  [&](const Origin& o) { return o == living_.front() || dice_.chance(0.1); });
-    view();
+  // Crashes the holder and a tenth of the other nodes without a hand-over. The fleet detects it at
+  // once: the tests of the membership protocol measure the detection.
+  void crash_nodes() {
+    has_crashed_ = true;
+    std::erase_if(living_nodes_,
+                  [&](const Origin& o) { return o == living_nodes_.front() || dice_.chance(0.1); });
+    update_membership();
   }
 
-  void lookups(const Origin& o) {
-    if (terms_.quiet_after > 0 && seconds(now_ - Time{}) >= terms_.quiet_after) return;
-    // Lookups beside the slice only fill the budget, which is no bound here: those of the slice
-    // alone are played.
+  void run_lookups(const Origin& o) {
+    if (config_.idle_time_s > 0 && seconds(now_ - Time{}) >= config_.idle_time_s) return;
+    // Simulates only lookups of the slice: others would only raise the budget, which does not limit
+    // the copies here.
     auto& node = at(o);
-    const double mean = terms_.lookups_per_s * terms_.slice_ppm / kWhole * seconds(kTick);
+    const double mean = config_.lookups_per_s * config_.slice_ppm / kWhole * seconds(kTick);
     for (double t = dice_.exponential(1); t < mean; t += dice_.exponential(1)) {
       const auto& path = paths_[dice_.below(paths_.size())];
       const auto request = std::to_string(requests_++);
-      for (double fill = 0; fill < 1; fill += terms_.extra_work)
+      for (double budget = 0; budget < 1; budget += config_.extra_work)
         node.decide({"", "", Idempotency::idempotent, true, true, {}}, {}, *this);
       const auto choice = node.decide({path, request, Idempotency::idempotent, true, true, {}},
                                       {true, true, true, true}, *this);
       if (choice.copy == Copy::none) continue;
-      ++outcome_.copies;
-      const auto e = endings_.end(choice.shard, choice.copy);
-      const Answer primary{true, 200, 40, {1, 1}, from_seconds(kMeanTook)};
+      ++result_.copies;
+      const auto drawn = copy_outcomes_.draw(choice.shard, choice.copy);
+      const Answer primary{true, 200, 40, {1, 1}, from_seconds(kMeanLatencyS)};
       Answer copy = primary;
-      copy.whole = !e.failed;
-      copy.took = e.took;
-      if (e.differs) copy.digest.low = 2;
+      copy.whole = !drawn.failed;
+      copy.took = drawn.latency;
+      if (drawn.differs) copy.digest.low = 2;
       node.compared(choice, path, primary, copy);
-      put(made_[choice.shard], choice.copy, e);
+      add_copy(actual_sums_[choice.shard], choice.copy, drawn);
     }
   }
 
-  void speak_and_hear(const Origin& o) {
+  void exchange_statistics(const Origin& o) {
     auto& keeper = at(o).keeper();
     for (auto& w : keeper.words(now_)) {
-      ++outcome_.words;
-      if (!wire_.chance(terms_.loss))
-        way_.emplace(arrival(), Letter{o, w.to, std::move(w.bytes), false});
+      ++result_.messages;
+      if (!network_dice_.chance(config_.loss))
+        pending_messages_.emplace(arrival_time(),
+                                  PendingMessage{o, w.to, std::move(w.bytes), false});
     }
-    // Records come to all at once here: they take some seconds, and are written every few minutes.
+    // Records reach all nodes at once here: in a fleet they take some seconds, but they are written
+    // only every few minutes.
     for (const auto& due : keeper.records(now_, kSumSpace)) {
-      records_.insert(due.key.number);
-      for (const auto& other : living_)
+      record_keys_.insert(due.key.number);
+      for (const auto& other : living_nodes_)
         if (other != o) at(other).keeper().recorded(due.key, due.value);
     }
   }
-  Time arrival() { return now_ + from_seconds(wire_.between(terms_.least_way, terms_.most_way)); }
+  Time arrival_time() {
+    return now_ + from_seconds(network_dice_.between(config_.min_delay_s, config_.max_delay_s));
+  }
 
-  // Letters are taken at the end of the tick in which they come.
+  // Delivers each message at the end of the tick in which it arrives.
   void deliver() {
-    while (!way_.empty() && way_.begin()->first <= now_ + kTick) {
-      const auto letter = std::move(way_.begin()->second);
-      way_.erase(way_.begin());
-      if (!alive(letter.to)) continue;
-      if (letter.verdict) {
-        at(letter.to).heard(letter.bytes);
-      } else if (at(letter.to).keeper().received(now_, letter.from, letter.bytes)) {
-        ++intake_[index_of(letter.to.node)];
+    while (!pending_messages_.empty() && pending_messages_.begin()->first <= now_ + kTick) {
+      const auto message = std::move(pending_messages_.begin()->second);
+      pending_messages_.erase(pending_messages_.begin());
+      if (!is_alive(message.to)) continue;
+      if (message.is_verdict) {
+        at(message.to).heard(message.bytes);
+      } else if (at(message.to).keeper().received(now_, message.from, message.bytes)) {
+        ++accepted_messages_[index_of(message.to.node)];
       } else {
-        ++outcome_.dropped;
+        ++result_.dropped;
       }
     }
-    while (!tellings_.empty() && tellings_.begin()->first <= now_) {
-      for (const auto& o : living_)
-        if (!wire_.chance(terms_.loss))
-          way_.emplace(arrival(), Letter{o, o, tellings_.begin()->second, true});
-      tellings_.erase(tellings_.begin());
+    while (!announcements_.empty() && announcements_.begin()->first <= now_) {
+      for (const auto& o : living_nodes_)
+        if (!network_dice_.chance(config_.loss))
+          pending_messages_.emplace(arrival_time(),
+                                    PendingMessage{o, o, announcements_.begin()->second, true});
+      announcements_.erase(announcements_.begin());
     }
   }
 
-  void judge() {
-    const auto holder = living_.front();
-    for (const auto& spoken : at(holder).speak(ended_ ? 2 : 1)) {
-      for (const double after : kTellings)
-        tellings_.emplace(now_ + from_seconds(after), encode(spoken));
-      if (spoken.shard == kTheMap && !outcome_.told) outcome_.told = seconds(now_ - Time{});
-      if (spoken.shard == terms_.truth.only_shard && evident_ && !outcome_.found_after)
-        outcome_.found_after = seconds(now_ - *evident_);
+  void publish_verdicts() {
+    const auto holder = living_nodes_.front();
+    for (const auto& verdict : at(holder).speak(has_crashed_ ? 2 : 1)) {
+      for (const double delay_s : kAnnouncementDelaysS)
+        announcements_.emplace(now_ + from_seconds(delay_s), encode(verdict));
+      if (verdict.shard == kTheMap && !result_.verdict_time_s)
+        result_.verdict_time_s = seconds(now_ - Time{});
+      if (verdict.shard == config_.truth.affected_shard && evidence_time_ &&
+          !result_.detection_delay_s)
+        result_.detection_delay_s = seconds(now_ - *evidence_time_);
     }
     const auto known = at(holder).keeper().known().totals();
     for (std::size_t s = 0; s < known.size(); ++s) {
-      auto most = made_[s];
-      most.merge(known[s]);
-      outcome_.exceeded = outcome_.exceeded || most != made_[s];
+      auto merged = actual_sums_[s];
+      merged.merge(known[s]);
+      result_.has_overcount = result_.has_overcount || merged != actual_sums_[s];
     }
   }
 
-  // When the copies made so far suffice, whoever knows of them; and the last copy after that.
-  void watch() {
-    if (!terms_.truth.only_shard) return;
-    const auto shard = *terms_.truth.only_shard;
-    if (!evident_ && judge_now(shard)) evident_ = now_;
-    if (!evident_) return;
+  // Records when the copies made so far, known to the holder or not, suffice as evidence, and when
+  // all nodes know the verdict.
+  void check_detection() {
+    if (!config_.truth.affected_shard) return;
+    const auto shard = *config_.truth.affected_shard;
+    if (!evidence_time_ && is_worse(shard)) evidence_time_ = now_;
+    if (!evidence_time_) return;
     bool all_know = true;
-    for (const auto& o : living_) all_know = all_know && at(o).verdicts().ended(shard);
-    if (all_know && !outcome_.stopped_after)
-      outcome_.stopped_after = std::max(0.0, seconds(now_ - *evident_));
+    for (const auto& o : living_nodes_) all_know = all_know && at(o).verdicts().ended(shard);
+    if (all_know && !result_.stop_delay_s)
+      result_.stop_delay_s = std::max(0.0, seconds(now_ - *evidence_time_));
   }
-  bool judge_now(std::uint32_t shard) const {
-    return fleet::judge(made_[shard], terms_.truth.shards, {}) > Finding::same;
+  bool is_worse(std::uint32_t shard) const {
+    return fleet::judge(actual_sums_[shard], config_.truth.shards, {}) > Finding::same;
   }
 
   void next_second() {
     ++next_second_;
-    for (auto& n : intake_) {
-      outcome_.worst_intake = std::max(outcome_.worst_intake, static_cast<double>(n));
+    for (auto& n : accepted_messages_) {
+      result_.max_messages_per_s = std::max(result_.max_messages_per_s, static_cast<double>(n));
       n = 0;
     }
   }
 
-  void close() {
+  void finish() {
     std::uint64_t made = 0, known = 0;
-    for (const auto& s : made_) made += s.candidate.copies() + s.control.copies();
-    for (const auto& s : at(living_.front()).keeper().known().totals())
+    for (const auto& s : actual_sums_) made += s.candidate.copies() + s.control.copies();
+    for (const auto& s : at(living_nodes_.front()).keeper().known().totals())
       known += s.candidate.copies() + s.control.copies();
-    outcome_.counted = known;
-    outcome_.lost = made - std::min(made, known);
-    outcome_.records = static_cast<std::uint32_t>(records_.size());
+    result_.counted_copies = known;
+    result_.lost_copies = made - std::min(made, known);
+    result_.record_keys = static_cast<std::uint32_t>(record_keys_.size());
   }
 
-  struct Letter {
+  struct PendingMessage {
     Origin from, to;
     std::string bytes;
-    bool verdict = false;
+    bool is_verdict = false;
   };
-  ShadowFleetTerms terms_;
-  Dice dice_, wire_;
-  Endings endings_;
-  std::vector<Sum> made_;
-  std::vector<std::uint32_t> intake_;
-  std::vector<Origin> living_;
+  ShadowFleetConfig config_;
+  Dice dice_, network_dice_;
+  CopyOutcomes copy_outcomes_;
+  std::vector<Sum> actual_sums_;
+  std::vector<std::uint32_t> accepted_messages_;
+  std::vector<Origin> living_nodes_;
   std::vector<std::unique_ptr<Shadow>> nodes_;
   std::vector<std::string> paths_;
-  std::multimap<Time, Letter> way_;
-  std::multimap<Time, std::string> tellings_;
-  std::set<std::uint64_t> records_;
+  std::multimap<Time, PendingMessage> pending_messages_;
+  std::multimap<Time, std::string> announcements_;
+  std::set<std::uint64_t> record_keys_;
   Time now_{};
-  std::optional<Time> evident_;
+  std::optional<Time> evidence_time_;
   double next_second_ = 1;
   std::uint64_t requests_ = 0;
-  bool ended_ = false;
-  ShadowFleetOutcome outcome_;
+  bool has_crashed_ = false;
+  ShadowFleetResult result_;
 };
 
 }  // namespace
 
-ShadowFleetOutcome play_shadow_fleet(const ShadowFleetTerms& terms, std::uint64_t seed) {
-  return ShadowFleet(terms, seed).play();
+ShadowFleetResult run_shadow_fleet(const ShadowFleetConfig& config, std::uint64_t seed) {
+  return ShadowFleet(config, seed).run();
 }
 
 }  // namespace petrelrail::world
--- a/tests/fleet/job_scheduler_test.cpp
+++ b/tests/fleet/job_scheduler_test.cpp
@@ -420,25 +420,25 @@
 TEST(JobFleet, ViolatesInvariantsOnlyWithoutWriteAhead) {
   std::uint64_t violations = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    world::FaultTerms t;
+    world::RandomFaultConfig t;
     t.seed = seed, t.minutes = 2;
-    const auto f = world::play_faults(t);
-    EXPECT_EQ(f.breaches.sum(), 0U) << f.breaches.words.front();
-    EXPECT_EQ(f.stuck, 0U);
-    EXPECT_GT(f.counts.fetched, 500U);
+    const auto f = world::run_random_faults(t);
+    EXPECT_EQ(f.violations.total(), 0U) << f.violations.texts.front();
+    EXPECT_EQ(f.unfinished_jobs, 0U);
+    EXPECT_GT(f.counts.answers_fetched, 500U);
     t.write_ahead = false;
-    violations += world::play_faults(t).breaches.sum();
+    violations += world::run_random_faults(t).violations.total();
   }
   EXPECT_GT(violations, 0U);
 }
 
 TEST(JobFleet, JobsOfFailedNodeContinueElsewhere) {
   for (const auto fault : {world::HolderFault::kill, world::HolderFault::leave}) {
-    const auto r = world::play_recovery(fault, 30, 8, 1);
-    EXPECT_EQ(r.never, 0U);
-    EXPECT_EQ(r.breaches.sum(), 0U);
-    ASSERT_FALSE(r.seconds.empty());
-    EXPECT_LE(std::ranges::max(r.seconds), 5);
+    const auto r = world::run_recovery_case(fault, 30, 8, 1);
+    EXPECT_EQ(r.unrecovered, 0U);
+    EXPECT_EQ(r.violations.total(), 0U);
+    ASSERT_FALSE(r.recovery_times_s.empty());
+    EXPECT_LE(std::ranges::max(r.recovery_times_s), 5);
   }
 }
 
--- a/tests/fleet/records_test.cpp
+++ b/tests/fleet/records_test.cpp
@@ -291,7 +291,7 @@
   RecordFleet& fleet(std::uint32_t nodes, double loss = 0.05, std::uint32_t zones = 3) {
     options_.nodes = nodes, options_.zones = zones;
     options_.peers.loss = loss, options_.peers.duplicate = 0.1, options_.peers.reorder = 0.1;
-    options_.terms.spaces = 2;
+    options_.config.spaces = 2;
     fleet_ = std::make_unique<RecordFleet>(options_);
     fleet_->start_all();
     EXPECT_TRUE(fleet_->run_until([&] { return all_caught_up(); }, 60s));
@@ -299,7 +299,7 @@
   }
   bool all_caught_up() const {
     for (std::uint32_t n = 0; n < fleet_->size(); ++n)
-      if (fleet_->up(n) && !fleet_->records(n).caught_up(fleet_->clock(n))) return false;
+      if (fleet_->is_up(n) && !fleet_->store(n).caught_up(fleet_->local_time(n))) return false;
     return true;
   }
   // Waits for the outcome of a write and returns whether it was replicated.
@@ -307,7 +307,7 @@
     EXPECT_EQ(put.kind, Kind::accepted);
     EXPECT_TRUE(
         fleet_->run_until([&] { return fleet_->outcome(node, put.ticket) != nullptr; }, 30s, 5ms));
-    return fleet_->outcome(node, put.ticket)->safe;
+    return fleet_->outcome(node, put.ticket)->is_replicated;
   }
   RecordFleet::Options options_;
   std::unique_ptr<RecordFleet> fleet_;
@@ -320,52 +320,52 @@
     ASSERT_TRUE(safe(writer, f.put(writer, {0, i}, "x")));
     std::set<std::uint32_t> zones;
     for (std::uint32_t n = 0; n < f.size(); ++n)
-      if (f.records(n).find({0, i})) zones.insert(f.zone(n));
-    EXPECT_GE(f.holders({0, i}), 4U);
+      if (f.store(n).find({0, i})) zones.insert(f.zone(n));
+    EXPECT_GE(f.holder_count({0, i}), 4U);
     EXPECT_EQ(zones.size(), 2U);
   }
-  EXPECT_TRUE(f.run_until([&] { return f.holders({0, 19}) == f.size(); }, 30s));
+  EXPECT_TRUE(f.run_until([&] { return f.holder_count({0, 19}) == f.size(); }, 30s));
 }
 TEST_F(StoreFleet, MinorityReportsStalenessAndFailsWrites) {
   auto& f = fleet(12);
   ASSERT_TRUE(safe(0, f.put(0, {0, 1}, "x")));
-  for (int i = 0; i < 5; ++i) f.mark(0, 0), f.run_for(1s);
-  f.cut([](std::uint32_t a, std::uint32_t b) { return (a < 5) != (b < 5); });
+  for (int i = 0; i < 5; ++i) f.write_watermark(0, 0), f.run_for(1s);
+  f.set_link_filter([](std::uint32_t a, std::uint32_t b) { return (a < 5) != (b < 5); });
   f.run_for(5s);
   EXPECT_FALSE(safe(1, f.put(1, {0, 2}, "y")));
   EXPECT_TRUE(safe(7, f.put(7, {0, 3}, "z")));
-  EXPECT_NE(f.records(1).find({0, 1}), nullptr);
-  EXPECT_GE(f.records(1).staleness(f.clock(1), 0), 5s);
+  EXPECT_NE(f.store(1).find({0, 1}), nullptr);
+  EXPECT_GE(f.store(1).staleness(f.local_time(1), 0), 5s);
   EXPECT_FALSE(
-      f.records(1).staleness(f.clock(1), 1));  // no watermark was ever written for that space
-  f.cut({});
-  EXPECT_TRUE(f.run_until([&] { return f.agreed(0) && f.holders({0, 3}) == 12; }, 30s));
+      f.store(1).staleness(f.local_time(1), 1));  // no watermark was ever written for that space
+  f.set_link_filter({});
+  EXPECT_TRUE(f.run_until([&] { return f.stores_agree(0) && f.holder_count({0, 3}) == 12; }, 30s));
 }
 TEST_F(StoreFleet, WithFewerNodesThanRequiredCopiesAllNodesSuffice) {
   auto& f = fleet(2, 0.05, 1);
   EXPECT_TRUE(safe(0, f.put(0, {0, 1}, "x")));
-  EXPECT_EQ(f.holders({0, 1}), 2U);
+  EXPECT_EQ(f.holder_count({0, 1}), 2U);
 }
 TEST_F(StoreFleet, DeletedRecordDoesNotReturnAfterAPartition) {
   for (const auto cut_for : {10s, 60s}) {
     auto& f = fleet(12);
     ASSERT_TRUE(safe(0, f.put(0, {0, 1}, "x", 30s)));
-    ASSERT_TRUE(f.run_until([&] { return f.holders({0, 1}) == f.size(); }, 20s));
-    f.cut([](std::uint32_t a, std::uint32_t b) { return (a < 3) != (b < 3); });
+    ASSERT_TRUE(f.run_until([&] { return f.holder_count({0, 1}) == f.size(); }, 20s));
+    f.set_link_filter([](std::uint32_t a, std::uint32_t b) { return (a < 3) != (b < 3); });
     ASSERT_TRUE(safe(5, f.erase(5, {0, 1})));
     f.run_for(cut_for);
-    EXPECT_EQ(f.holders({0, 1}), cut_for < 30s ? 3U : 0U);
-    f.cut({});
+    EXPECT_EQ(f.holder_count({0, 1}), cut_for < 30s ? 3U : 0U);
+    f.set_link_filter({});
     for (int i = 0; i < 400; ++i) {
       f.run_for(100ms);
-      for (std::uint32_t n = 3; n < f.size(); ++n) ASSERT_EQ(f.records(n).find({0, 1}), nullptr);
-      EXPECT_TRUE(i < 150 || f.holders({0, 1}) == 0U);
+      for (std::uint32_t n = 3; n < f.size(); ++n) ASSERT_EQ(f.store(n).find({0, 1}), nullptr);
+      EXPECT_TRUE(i < 150 || f.holder_count({0, 1}) == 0U);
     }
-    for (std::uint32_t n = 0; n < f.size(); ++n) EXPECT_EQ(f.records(n).stats().records, 0U);
+    for (std::uint32_t n = 0; n < f.size(); ++n) EXPECT_EQ(f.store(n).stats().records, 0U);
   }
 }
 TEST_F(StoreFleet, StalenessIsNeverUnderstated) {
-  options_.terms.max_clock_skew = 400ms;
+  options_.config.max_clock_skew = 400ms;
   auto& f = fleet(16, 0.2);
   struct Written {
     Time at;
@@ -375,10 +375,12 @@
   Random r(7);
   std::uint64_t looks = 0;
   for (std::uint64_t step = 0; step < 600; ++step) {
-    if (step == 100) f.cut([](std::uint32_t a, std::uint32_t b) { return (a < 4) != (b < 4); });
+    if (step == 100)
+      f.set_link_filter([](std::uint32_t a, std::uint32_t b) { return (a < 4) != (b < 4); });
     if (step == 200)
-      f.cut([](std::uint32_t a, std::uint32_t) { return a == 0; });  // only what it sends is lost
-    if (step == 300) f.cut({}), f.stall(3, true);
+      f.set_link_filter(
+          [](std::uint32_t a, std::uint32_t) { return a == 0; });  // only what it sends is lost
+    if (step == 300) f.set_link_filter({}), f.stall(3, true);
     if (step == 350) f.stall(3, false);
     if (step == 400) f.start(9);
     if (random_below(r, 3) == 0) {
@@ -386,61 +388,62 @@
       if (f.put(0, {0, key}, std::to_string(step)).kind == Kind::accepted)
         history.push_back({f.now(), key, step});
     }
-    if (step % 10 == 0) f.mark(0, 0);
+    if (step % 10 == 0) f.write_watermark(0, 0);
     f.run_for(100ms);
     for (std::uint32_t n = 0; n < f.size(); ++n) {
-      const auto age = f.records(n).staleness(f.clock(n), 0);
+      const auto age = f.store(n).staleness(f.local_time(n), 0);
       if (!age) continue;
       ++looks;
       for (const auto& w : history) {
         if (w.at > f.now() - *age) break;
-        const auto* shown = f.records(n).find({0, w.key});
+        const auto* shown = f.store(n).find({0, w.key});
         ASSERT_TRUE(shown && std::stoull(shown->value) >= w.count) << n << " at step " << step;
       }
     }
   }
   EXPECT_GT(looks, 7000U);
-  EXPECT_LT(*f.records(5).staleness(f.clock(5), 0), 15s);
+  EXPECT_LT(*f.store(5).staleness(f.local_time(5), 0), 15s);
 }
 TEST_F(StoreFleet, EmptyNodeHoldsAllRecordsOnceCaughtUp) {
   auto& f = fleet(10);
   for (std::uint64_t i = 0; i < 300; ++i)
     f.put(static_cast<std::uint32_t>(i % 10), {0, i}, std::string(60, 'x')), f.run_for(50ms);
-  ASSERT_TRUE(f.run_until([&] { return f.agreed(0); }, 120s));
+  ASSERT_TRUE(f.run_until([&] { return f.stores_agree(0); }, 120s));
   f.reset_traffic();
   f.start(4);
-  EXPECT_FALSE(f.records(4).caught_up(f.clock(4)));
-  ASSERT_TRUE(f.run_until([&] { return f.records(4).caught_up(f.clock(4)); }, 60s));
-  EXPECT_TRUE(f.agreed(0));
-  EXPECT_LE(static_cast<double>(f.most_in()), f.records(0).config().expected_intake_per_s());
+  EXPECT_FALSE(f.store(4).caught_up(f.local_time(4)));
+  ASSERT_TRUE(f.run_until([&] { return f.store(4).caught_up(f.local_time(4)); }, 60s));
+  EXPECT_TRUE(f.stores_agree(0));
+  EXPECT_LE(static_cast<double>(f.max_arrivals_per_s()),
+            f.store(0).config().expected_intake_per_s());
   // A node that may not pull never catches up.
   f.start(4);
-  f.records(4).limit_pulls(0);
+  f.store(4).limit_pulls(0);
   f.run_for(60s);
-  EXPECT_FALSE(f.records(4).caught_up(f.clock(4)));
-  EXPECT_EQ(f.records(4).stats().pulls, 0U);
+  EXPECT_FALSE(f.store(4).caught_up(f.local_time(4)));
+  EXPECT_EQ(f.store(4).stats().pulls, 0U);
   // All nodes restart at once: the records are lost, and no node waits for them.
   f.start_all();
   EXPECT_TRUE(f.run_until([&] { return all_caught_up(); }, 60s));
-  EXPECT_EQ(f.holders({0, 1}), 0U);
+  EXPECT_EQ(f.holder_count({0, 1}), 0U);
 }
 TEST_F(StoreFleet, RecordsBeyondTheLimitsAreDroppedAndPulledLessOften) {
-  options_.terms.max_records = 50;
+  options_.config.max_records = 50;
   auto& f = fleet(6, 0);
-  f.cut([](std::uint32_t a, std::uint32_t b) { return (a < 3) != (b < 3); });
+  f.set_link_filter([](std::uint32_t a, std::uint32_t b) { return (a < 3) != (b < 3); });
   for (std::uint64_t i = 0; i < 50; ++i)
     f.put(0, {0, i}, "x"), f.put(5, {0, 100 + i}, "y"), f.run_for(100ms);
-  f.cut({});
+  f.set_link_filter({});
   f.run_for(60s);
   std::uint64_t pulls = 0, dropped = 0;
   for (std::uint32_t n = 0; n < f.size(); ++n) {
-    const auto& stats = f.records(n).stats();
+    const auto& stats = f.store(n).stats();
     EXPECT_LE(stats.records, 50U);
     pulls += stats.pulls, dropped += stats.full;
   }
   EXPECT_GT(dropped, 0U);
   f.run_for(120s);
-  for (std::uint32_t n = 0; n < f.size(); ++n) pulls -= f.records(n).stats().pulls;
+  for (std::uint32_t n = 0; n < f.size(); ++n) pulls -= f.store(n).stats().pulls;
   EXPECT_LE(-static_cast<std::int64_t>(pulls), 6 * 12);  // at most one pull per node in ten seconds
 }
 
@@ -455,29 +458,30 @@
     for (std::uint64_t step = 0; step < 200; ++step) {
       const auto a = static_cast<std::uint32_t>(random_below(r, 9));
       if (random_below(r, 20) == 0)
-        f.cut([a](std::uint32_t x, std::uint32_t y) { return (x < a) != (y < a); });
-      if (random_below(r, 20) == 0) f.cut([a](std::uint32_t x, std::uint32_t) { return x == a; });
-      if (random_below(r, 10) == 0) f.cut({});
+        f.set_link_filter([a](std::uint32_t x, std::uint32_t y) { return (x < a) != (y < a); });
+      if (random_below(r, 20) == 0)
+        f.set_link_filter([a](std::uint32_t x, std::uint32_t) { return x == a; });
+      if (random_below(r, 10) == 0) f.set_link_filter({});
       if (random_below(r, 10) == 0) f.stall(a, random_below(r, 2) == 0);
       // One writer per term, as leader leases guarantee.
       f.run_until([&, e = f.epoch()] { return f.epoch() != e; }, 3s);
       const auto writer = static_cast<std::uint32_t>(random_below(r, 9));
       const RecordKey key{0, random_below(r, 10)};
       const auto value = std::to_string(step);
-      const bool erases = random_below(r, 4) == 0 && f.records(writer).find(key);
+      const bool erases = random_below(r, 4) == 0 && f.store(writer).find(key);
       const auto put = erases ? f.erase(writer, key) : f.put(writer, key, value);
       ASSERT_EQ(put.kind, Kind::accepted);
       last[key] = erases ? std::nullopt : std::optional(value);
     }
-    f.cut({});
+    f.set_link_filter({});
     for (std::uint32_t n = 0; n < 9; ++n) f.stall(n, false);
     const auto all = [&](std::uint32_t n) {
       return std::ranges::all_of(last, [&](const auto& l) {
-        const auto* shown = f.records(n).find(l.first);
+        const auto* shown = f.store(n).find(l.first);
         return l.second ? shown && shown->value == *l.second : !shown;
       });
     };
-    EXPECT_TRUE(f.run_until([&] { return all(0) && f.agreed(0); }, 120s)) << seed;
+    EXPECT_TRUE(f.run_until([&] { return all(0) && f.stores_agree(0); }, 120s)) << seed;
   }
 }
 
@@ -518,11 +522,11 @@
   return m;
 }
 TEST_F(StoreFleet, ArbitraryMessagesExceedNoLimitAndNodesConverge) {
-  options_.terms.max_records = 30, options_.terms.max_bytes = 3000;
+  options_.config.max_records = 30, options_.config.max_bytes = 3000;
   auto& f = fleet(8);
   Random r(3);
   for (int i = 0; i < 20'000; ++i) {
-    const auto message = random_message(r, f.records(0).config().max_epoch(f.clock(0)));
+    const auto message = random_message(r, f.store(0).config().max_epoch(f.local_time(0)));
     const auto bytes = encode(message, {});
     if (bytes.size() <= kMaxDatagramBytes)
       f.inject(static_cast<std::uint32_t>(random_below(r, 8)),
@@ -530,7 +534,7 @@
     if (i % 10 == 0) f.run_for(20ms);
   }
   for (std::uint32_t n = 0; n < f.size(); ++n) {
-    const auto& stats = f.records(n).stats();
+    const auto& stats = f.store(n).stats();
     EXPECT_LE(stats.records, 2 * 30U + 2);
     EXPECT_LE(stats.bytes, 2 * 3000U + 2 * kMaxDatagramBytes);
     EXPECT_GT(stats.epoch_ahead + stats.malformed + stats.too_far + stats.expired + stats.no_space +
@@ -540,7 +544,7 @@
   // Once the forged records have expired, new writes are replicated and reach all nodes.
   f.run_for(400s);
   for (std::uint64_t n = 0; n < 30; ++n) ASSERT_TRUE(safe(2, f.put(2, {0, n}, "x"))) << n;
-  EXPECT_TRUE(f.run_until([&] { return f.agreed(0) && f.holders({0, 29}) == 8; }, 60s));
+  EXPECT_TRUE(f.run_until([&] { return f.stores_agree(0) && f.holder_count({0, 29}) == 8; }, 60s));
 }
 
 }  // namespace
--- a/tests/fleet/shadow_test.cpp
+++ b/tests/fleet/shadow_test.cpp
@@ -782,37 +782,37 @@
 // ---- The model ----------------------------------------------------------------------------------
 
 TEST(ShadowTrial, FindsWhatIsTrue) {
-  world::TrialTerms t;
+  world::ShadowTrialConfig t;
   t.truth.shards = 4;
-  t.truth.published = 0.0002;
-  EXPECT_EQ(world::play_trial(t, 1).map,
+  t.truth.published_share = 0.0002;
+  EXPECT_EQ(world::run_shadow_trial(t, 1).map,
             MapFinding::may_be_used);  // the candidate is today's route
-  t.truth.differs = 0.01;
-  EXPECT_EQ(world::play_trial(t, 1).map, MapFinding::must_not);
-  t.truth.differs = 0;
-  t.truth.only_shard = 2;
-  t.truth.fails = 1;
-  EXPECT_EQ(world::play_trial(t, 1).bad_shards, 1U);
+  t.truth.candidate_differing_share = 0.01;
+  EXPECT_EQ(world::run_shadow_trial(t, 1).map, MapFinding::must_not);
+  t.truth.candidate_differing_share = 0;
+  t.truth.affected_shard = 2;
+  t.truth.candidate_failing_share = 1;
+  EXPECT_EQ(world::run_shadow_trial(t, 1).worse_shards, 1U);
 }
 TEST(ShadowTrial, AFleetStopsAFailingShardAndKeepsTheWordsOfTheDead) {
-  world::ShadowFleetTerms t;
+  world::ShadowFleetConfig t;
   t.nodes = 60;
   t.lookups_per_s = 300;
-  t.truth.only_shard = 5;
-  t.truth.fails = 1;
-  t.seconds = 20;
-  const auto stopped = world::play_shadow_fleet(t, 1);
-  ASSERT_TRUE(stopped.stopped_after);
-  EXPECT_LE(*stopped.stopped_after, 2);
-  EXPECT_FALSE(stopped.exceeded);
+  t.truth.affected_shard = 5;
+  t.truth.candidate_failing_share = 1;
+  t.duration_s = 20;
+  const auto stopped = world::run_shadow_fleet(t, 1);
+  ASSERT_TRUE(stopped.stop_delay_s);
+  EXPECT_LE(*stopped.stop_delay_s, 2);
+  EXPECT_FALSE(stopped.has_overcount);
   t = {};
   t.nodes = 60;
-  t.truth.differs = 0;
-  t.seconds = 160;
-  t.ends_at = 80;
-  const auto deaths = world::play_shadow_fleet(t, 1);
-  EXPECT_FALSE(deaths.exceeded);
-  EXPECT_LT(static_cast<double>(deaths.lost), 0.2 * static_cast<double>(deaths.copies));
+  t.truth.candidate_differing_share = 0;
+  t.duration_s = 160;
+  t.crash_time_s = 80;
+  const auto deaths = world::run_shadow_fleet(t, 1);
+  EXPECT_FALSE(deaths.has_overcount);
+  EXPECT_LT(static_cast<double>(deaths.lost_copies), 0.2 * static_cast<double>(deaths.copies));
 }
 
 }  // namespace
