--- a/tests/fleet/shadow_test.cpp
+++ b/tests/fleet/shadow_test.cpp
@@ -805,37 +805,37 @@
 // ---- Simulation ---------------------------------------------------------------------------------
 
 TEST(ShadowTrial, VerdictsMatchTheSimulatedTruth) {
-  world::TrialTerms t;
+  world::ShadowTrialConfig t;
   t.truth.shards = 4;
-  t.truth.published = 0.0002;
-  EXPECT_EQ(world::play_trial(t, 1).map,
+  t.truth.published_share = 0.0002;
+  EXPECT_EQ(world::run_shadow_trial(t, 1).map,
             MapFinding::may_be_used);  // the candidate equals the current route
-  t.truth.differs = 0.01;
-  EXPECT_EQ(world::play_trial(t, 1).map, MapFinding::must_not);
-  t.truth.differs = 0;
-  t.truth.only_shard = 2;
-  t.truth.fails = 1;
-  EXPECT_EQ(world::play_trial(t, 1).bad_shards, 1U);
+  t.truth.candidate_differing_share = 0.01;
+  EXPECT_EQ(world::run_shadow_trial(t, 1).map, MapFinding::must_not);
+  t.truth.candidate_differing_share = 0;
+  t.truth.affected_shard = 2;
+  t.truth.candidate_failing_share = 1;
+  EXPECT_EQ(world::run_shadow_trial(t, 1).worse_shards, 1U);
 }
 TEST(ShadowTrial, FleetStopsAFailingShardAndKeepsCountsOfFailedNodes) {
-  world::ShadowFleetTerms t;
+  world::ShadowFleetConfig t;
   t.nodes = 60;
   t.lookups_per_s = 300;
-  t.truth.only_shard = 5;
-  t.truth.fails = 1;
-  t.seconds = 20;
-  const auto failing_shard = world::play_shadow_fleet(t, 1);
-  ASSERT_TRUE(failing_shard.stopped_after);
-  EXPECT_LE(*failing_shard.stopped_after, 2);
-  EXPECT_FALSE(failing_shard.exceeded);
+  t.truth.affected_shard = 5;
+  t.truth.candidate_failing_share = 1;
+  t.duration_s = 20;
+  const auto failing_shard = world::run_shadow_fleet(t, 1);
+  ASSERT_TRUE(failing_shard.stop_delay_s);
+  EXPECT_LE(*failing_shard.stop_delay_s, 2);
+  EXPECT_FALSE(failing_shard.has_overcount);
   t = {};
   t.nodes = 60;
-  t.truth.differs = 0;
-  t.seconds = 160;
-  t.ends_at = 80;
-  const auto with_failures = world::play_shadow_fleet(t, 1);
-  EXPECT_FALSE(with_failures.exceeded);
-  EXPECT_LT(static_cast<double>(with_failures.lost),
+  t.truth.candidate_differing_share = 0;
+  t.duration_s = 160;
+  t.crash_time_s = 80;
+  const auto with_failures = world::run_shadow_fleet(t, 1);
+  EXPECT_FALSE(with_failures.has_overcount);
+  EXPECT_LT(static_cast<double>(with_failures.lost_copies),
             0.2 * static_cast<double>(with_failures.copies));
 }
 
