--- a/lab/answer_form.hpp
+++ b/lab/answer_form.hpp
@@ -1,5 +1,5 @@
-// How a price server's answer goes over its connection: framing, pieces, and what is spoilt about
-// it.
+// How the lab writes a price server's answer on its connection: framing, number of writes, and
+// defects such as truncation or trailing bytes. Encodes text only; process_runtime.cpp writes it.
 #pragma once
 
 #include <string>
@@ -14,17 +14,17 @@
 struct AnswerForm {
   enum class Framing { length, chunked, until_close };
   Framing framing = Framing::length;
-  bool bytes_behind = false;  // more comes behind the whole answer
-  bool breaks = false;        // it is never whole: its connection ends, or is reset, in the middle
-  bool by_reset = false;
-  std::size_t pieces = 1;  // writes with a pause between
+  bool has_trailing_bytes = false;  // bytes follow the complete answer
+  bool is_truncated = false;        // the connection ends in the middle of the answer
+  bool ends_by_reset = false;       // if truncated: by a TCP reset instead of an orderly close
+  std::size_t pieces = 1;           // number of writes, with a pause between them
 };
 
-// The form of one answer, drawn anew for each. `breaks` is the world's decision.
-AnswerForm draw_form(const world::WireTerms& terms, world::Dice& dice, bool breaks);
+// Draws the form of one answer. The simulation decides whether it is truncated.
+AnswerForm draw_answer_form(const world::WireTerms& terms, world::Dice& dice, bool is_truncated);
 
-// The answer as the pieces in which it is written.
-std::vector<std::string> pieces_of(const AnswerForm& form, std::string_view status_line,
-                                   std::string_view body);
+// Returns the encoded answer, split into the pieces that are written one by one.
+std::vector<std::string> encode_answer(const AnswerForm& form, std::string_view status_line,
+                                       std::string_view body);
 
 }  // namespace petrelrail::lab
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -132,7 +132,7 @@
   std::uint32_t seeds_played = 0, with_findings = 0, void_seeds = 0;
   for (std::uint32_t i = 0; i < a.seeds && interrupted == 0; ++i) {
     Options o;
-    const SoakTerms terms{
+    const SoakConfig terms{
         .seed = a.first_seed + i, .nodes = a.nodes, .seconds = a.seconds, .extended = true};
     o.scenario = soak_scenario(terms);
     o.seed = terms.seed, o.processes = true;
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -17,13 +17,13 @@
     FaultKind::answers_spoilt, FaultKind::burst,          FaultKind::list_late};
 constexpr std::array kEffects{"safe", "keyed", "unsafe"};
 constexpr std::uint64_t kMinFaults = 4, kMaxExtraFaults = 5;
-constexpr double kLongestStall = 0.15;  // STANDING, "What production adds"
-constexpr double kFirstFault = 1;       // seconds after the clients begin
-constexpr Range kTurnShare{0.05, 0.5};  // of the tries, under another plan
-constexpr Range kLasts{0.5, 4}, kShare{0.1, 0.4}, kFactor{1.5, 4};
+constexpr double kMaxStallSeconds = 0.15;     // STANDING, "What production adds"
+constexpr double kFirstFaultSeconds = 1;      // after the clients begin
+constexpr Range kPlanChangeShare{0.05, 0.5};  // of the client attempts, sent under another plan
+constexpr Range kFaultSeconds{0.5, 4}, kAffectedShare{0.1, 0.4}, kFaultFactor{1.5, 4};
 constexpr double kSecondsInHour = 3600;
-constexpr double kNoticeSeconds = 1.5;   // until most drains are in the list
-constexpr double kMinServedShare = 0.2;  // of the requests, or a play says too little
+constexpr double kDrainNoticeSeconds = 1.5;  // until most drains are in discovery's list
+constexpr double kMinServedShare = 0.2;      // of the requests; a run below it is void
 
 Selector share_of(Selector::Kind kind, double share) {
   Selector selector;
@@ -31,101 +31,104 @@
   return selector;
 }
 
-bool is_about_nodes(FaultKind kind) {
+bool affects_nodes(FaultKind kind) {
   return kind == FaultKind::kill || kind == FaultKind::restart || kind == FaultKind::stall ||
          kind == FaultKind::upgrade || kind == FaultKind::reload;
 }
-bool is_about_servers(FaultKind kind) {
+bool affects_servers(FaultKind kind) {
   return kind == FaultKind::servers_bad || kind == FaultKind::servers_slow ||
          kind == FaultKind::servers_gone || kind == FaultKind::servers_replaced;
 }
 
 Fault draw_fault(Dice& dice, double seconds) {
-  Fault f;
-  f.kind = kFaults[dice.below(kFaults.size())];
-  f.at = dice.between(kFirstFault, seconds * 3 / 4);
-  f.lasts = f.kind == FaultKind::stall ? dice.between(0, kLongestStall) : dice.in(kLasts);
-  f.share = dice.in(kShare), f.factor = dice.in(kFactor), f.delay = 1;
-  if (is_about_nodes(f.kind)) f.who = {share_of(Selector::Kind::nodes, f.share)};
-  if (is_about_servers(f.kind)) f.who = {share_of(Selector::Kind::servers, f.share)};
-  if (f.kind == FaultKind::reload) f.move = dice.chance(0.5);
-  return f;
+  Fault fault;
+  fault.kind = kFaults[dice.below(kFaults.size())];
+  fault.at = dice.between(kFirstFaultSeconds, seconds * 3 / 4);
+  fault.lasts = fault.kind == FaultKind::stall ? dice.between(0, kMaxStallSeconds)
+                                               : dice.in(kFaultSeconds);
+  fault.share = dice.in(kAffectedShare), fault.factor = dice.in(kFaultFactor), fault.delay = 1;
+  if (affects_nodes(fault.kind)) fault.who = {share_of(Selector::Kind::nodes, fault.share)};
+  if (affects_servers(fault.kind)) fault.who = {share_of(Selector::Kind::servers, fault.share)};
+  if (fault.kind == FaultKind::reload) fault.move = dice.chance(0.5);
+  return fault;
 }
 
-void add_news_for_late_lists(std::vector<Fault>& faults) {
+void add_replacements_during_late_lists(std::vector<Fault>& faults) {
   std::vector<Fault> replacements;
   for (const auto& fault : faults) {
     if (fault.kind != FaultKind::list_late) continue;
     Fault replaced = fault;
     replaced.kind = FaultKind::servers_replaced;
     replaced.who = {share_of(Selector::Kind::servers, fault.share)};
-    // Discovery notices some time after a server began to drain: while lists come late, that is.
-    replaced.at = std::max(0.0, fault.at - kNoticeSeconds);
+    // Starts early, so that discovery notices the drains while its lists are late.
+    replaced.at = std::max(0.0, fault.at - kDrainNoticeSeconds);
     replacements.push_back(replaced);
   }
   faults.insert(faults.end(), replacements.begin(), replacements.end());
 }
 
 WireTerms draw_wire(Dice& dice) {
-  WireTerms w;
-  w.long_answers = dice.between(0, 0.5), w.chunked = dice.between(0, 0.5),
-  w.until_close = dice.between(0, 0.2);
-  w.bytes_behind = dice.between(0, 0.1), w.pieces = dice.between(0, 0.5);
-  return w;
+  WireTerms wire;
+  wire.long_answers = dice.between(0, 0.5), wire.chunked = dice.between(0, 0.5),
+  wire.until_close = dice.between(0, 0.2);
+  wire.bytes_behind = dice.between(0, 0.1), wire.pieces = dice.between(0, 0.5);
+  return wire;
 }
 
 SystemTerms draw_system(Dice& dice) {
-  SystemTerms s;
-  s.accept = dice.between(0, 0.05), s.connect = dice.between(0, 0.02),
-  s.socket = dice.between(0, 0.01);
-  s.poll = dice.between(0, 0.1), s.read = dice.between(0, 0.2), s.write = dice.between(0, 0.2);
-  s.step_s = dice.chance(0.5) ? std::round(dice.between(-kSecondsInHour, kSecondsInHour)) : 0;
-  return s;
+  SystemTerms system;
+  system.accept = dice.between(0, 0.05), system.connect = dice.between(0, 0.02),
+  system.socket = dice.between(0, 0.01);
+  system.poll = dice.between(0, 0.1), system.read = dice.between(0, 0.2),
+  system.write = dice.between(0, 0.2);
+  system.step_s = dice.chance(0.5) ? std::round(dice.between(-kSecondsInHour, kSecondsInHour)) : 0;
+  return system;
 }
 
 void extend(Scenario& scenario, Dice dice) {
   auto& clients = scenario.clients;
-  // No customer is at home under the last three: they are turned to.
+  // No customer starts under these three plans (share 0): customers change to them.
   PlanTerms slots_only, both, capped;
   slots_only.name = "slots", slots_only.share = 0, slots_only.rate = 0, slots_only.open = 1;
   both.name = "both", both.share = 0, both.rate = 4, both.open = 2;
   capped.name = "capped", capped.share = 0, capped.rate = 6, capped.ceiling = 1.5;
   clients.plans.insert(clients.plans.end(), {slots_only, both, capped});
-  clients.turn_share = dice.in(kTurnShare);
+  clients.turn_share = dice.in(kPlanChangeShare);
   clients.keeps_open = true;
   scenario.fleet.signal_series = dice.chance(0.5);
   Fault restart;
   restart.kind = FaultKind::restart;
-  restart.at = dice.between(kFirstFault, scenario.fleet.seconds / 2);
-  restart.lasts = dice.in(kLasts);
-  restart.who = {share_of(Selector::Kind::nodes, dice.in(kShare))};
+  restart.at = dice.between(kFirstFaultSeconds, scenario.fleet.seconds / 2);
+  restart.lasts = dice.in(kFaultSeconds);
+  restart.who = {share_of(Selector::Kind::nodes, dice.in(kAffectedShare))};
   scenario.faults.push_back(restart);
-  add_news_for_late_lists(scenario.faults);
+  add_replacements_during_late_lists(scenario.faults);
 }
 
 }  // namespace
 
-Scenario soak_scenario(const SoakTerms& terms) {
-  Dice dice = Dice(terms.seed).stream("soak");
-  Scenario s;
-  s.name = "soak-" + std::to_string(terms.seed);
-  s.fleet.nodes = terms.nodes, s.fleet.seconds = terms.seconds;
-  s.clients.effect = kEffects[dice.below(kEffects.size())];
-  s.clients.deadline_ms = dice.between(1500, 6000), s.clients.aim_ms = s.clients.deadline_ms / 2;
-  s.fleet.term_s = std::min(s.clients.deadline_ms / 1e3, 3.0) + 0.7;
-  s.clients.leave_share = dice.between(0, 0.1);
+Scenario soak_scenario(const SoakConfig& config) {
+  Dice dice = Dice(config.seed).stream("soak");
+  Scenario scenario;
+  scenario.name = "soak-" + std::to_string(config.seed);
+  scenario.fleet.nodes = config.nodes, scenario.fleet.seconds = config.seconds;
+  scenario.clients.effect = kEffects[dice.below(kEffects.size())];
+  scenario.clients.deadline_ms = dice.between(1500, 6000),
+  scenario.clients.aim_ms = scenario.clients.deadline_ms / 2;
+  scenario.fleet.term_s = std::min(scenario.clients.deadline_ms / 1e3, 3.0) + 0.7;
+  scenario.clients.leave_share = dice.between(0, 0.1);
   PlanTerms basic, extended;
   basic.name = "basic", basic.share = 0.6;
   extended.name = "extended", extended.share = 0.4, extended.rate = 8;
-  s.clients.plans = {basic, extended};
-  s.servers.error_rate = dice.between(0, 0.02);
-  s.wire = draw_wire(dice);
-  s.system = draw_system(dice);
+  scenario.clients.plans = {basic, extended};
+  scenario.servers.error_rate = dice.between(0, 0.02);
+  scenario.wire = draw_wire(dice);
+  scenario.system = draw_system(dice);
   for (auto n = kMinFaults + dice.below(kMaxExtraFaults); n > 0; --n)
-    s.faults.push_back(draw_fault(dice, terms.seconds));
-  if (terms.extended) extend(s, dice.stream("extended"));
-  std::ranges::sort(s.faults, {}, &Fault::at);
-  return s;
+    scenario.faults.push_back(draw_fault(dice, config.seconds));
+  if (config.extended) extend(scenario, dice.stream("extended"));
+  std::ranges::sort(scenario.faults, {}, &Fault::at);
+  return scenario;
 }
 
 std::vector<std::string> soak_void_reasons(const Played& played) {
--- a/lab/soak.hpp
+++ b/lab/soak.hpp
@@ -1,5 +1,6 @@
-// Soak plays: random faults that overlap, drawn from a seed, over some dozen real processes, judged
-// by the rules.
+// Soak runs: scenarios with random, overlapping faults drawn from a seed, for a fleet of real
+// processes whose events the invariant checker judges. Draws scenarios and evaluates results; runs
+// nothing.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +13,27 @@
 
 namespace petrelrail::lab {
 
-struct SoakTerms {
+struct SoakConfig {
   std::uint64_t seed = 1;
   std::uint32_t nodes = 24;
   double seconds = 15;
-  // More of each: plans of every kind, customers that turn between them, a restart in any case,
-  // with signals in series and clients that use open connections until the kill, and news while
-  // lists come late. Without it, what the tests' first seeds were drawn with.
+  // Adds plans of every kind, customers that change between them, at least one restart, series of
+  // signals, clients that keep using open connections until the kill, and replaced servers while
+  // discovery's lists are late. Without it, a seed draws the same scenario as before these existed,
+  // which the tests' first seeds rely on.
   bool extended = false;
 };
 
-// The scenario of a seed: terms of the parties, forms of the answers, failing system calls, and
-// faults that overlap.
-world::Scenario soak_scenario(const SoakTerms& terms);
+// Draws a scenario: configuration of clients and servers, forms of answers, failing system calls
+// and overlapping faults. Equal configurations give equal scenarios.
+world::Scenario soak_scenario(const SoakConfig& config);
 
-// Why a play says nothing, whatever it found: it was stopped, the lab ran late, too little was
-// served, or a fault touched nothing. Empty: it counts.
+// Returns the reasons why a run is void whatever its findings: it was stopped, the lab ran late,
+// too few requests were served, or a fault affected nothing. Empty if the run is valid.
 std::vector<std::string> soak_void_reasons(const Played& played);
 
-// What is wrong after a play: broken rules, a crash, breaches that nodes counted themselves. Empty:
-// nothing.
+// Returns what a run found: violated invariants, a crash, and violations that nodes logged
+// themselves.
 std::vector<std::string> soak_findings(const Played& played);
 
 }  // namespace petrelrail::lab
--- a/tests/process_cluster_fixture.hpp
+++ b/tests/process_cluster_fixture.hpp
@@ -77,7 +77,7 @@
     if (!until([&] { return call(node, "GET", "/ready").status == 200; })) return false;
     n.child->signal(SIGTERM);
     std::swap(n.child, next);
-    return until([&] { return next->ended().has_value(); });
+    return until([&] { return next->poll_wait_status().has_value(); });
   }
   void start_all() {
     for (std::uint32_t i = 0; i < count; ++i) start(i);
@@ -85,7 +85,7 @@
   void kill(std::uint32_t node) { nodes_[node]->child.reset(); }
   bool up(std::uint32_t node) const { return nodes_[node]->child != nullptr; }
   void signal(std::uint32_t node, int number) { nodes_[node]->child->signal(number); }
-  bool ended(std::uint32_t node) { return nodes_[node]->child->ended().has_value(); }
+  bool ended(std::uint32_t node) { return nodes_[node]->child->poll_wait_status().has_value(); }
   // What goes from one node to another is lost.
   void cut(std::uint32_t from, std::uint32_t to, bool lost = true) { cut_[from][to] = lost; }
   void cut_off(std::uint32_t node, bool off = true) {
@@ -263,13 +263,13 @@
   std::unique_ptr<lab::Child> spawn(Node& n) {
     write_config(n.index);
     return std::make_unique<lab::Child>(
-        lab::Child::Plan{PETRELRAIL_PROGRAM,
-                         {{"GW_CONFIG", (n.folder / "config.json").string()},
-                          {"GW_MEMBERS", members_},
-                          {"TMPDIR", (n.folder / "tmp").string()},
-                          {"PATH", "/usr/bin:/bin"}},
-                         n.folder / "log",
-                         1024});
+        lab::Child::LaunchOptions{PETRELRAIL_PROGRAM,
+                                  {{"GW_CONFIG", (n.folder / "config.json").string()},
+                                   {"GW_MEMBERS", members_},
+                                   {"TMPDIR", (n.folder / "tmp").string()},
+                                   {"PATH", "/usr/bin:/bin"}},
+                                  n.folder / "log",
+                                  1024});
   }
   void write_config(std::uint32_t node) {
     auto& n = *nodes_[node];
