--- a/bench/compare.sh
+++ b/bench/compare.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# What a request costs here against another revision: both are built, then run in turn, and each figure is told as
-# median here, median there and their ratio with the least and greatest ratio of the rounds.
-#   sh bench/compare.sh [REVISION] [ROUNDS]      HEAD^ and 7 where not named
+# Compares the cost of a request in this tree with another revision: builds both, runs bench/cost.cpp of each alternately and
+# prints for each value the median here, the median there and their ratio with the smallest and largest ratio of the rounds.
+#   sh bench/compare.sh [REVISION] [ROUNDS]      default: HEAD^ and 7
 set -eu
 cd "$(dirname "$0")/.."
 rev=${1:-HEAD^}; rounds=${2:-7}; at=$PWD/build-compare
@@ -9,8 +9,9 @@
 [ -d "$at/tree" ] && git worktree remove --force "$at/tree"
 git worktree prune
 git worktree add --detach "$at/tree" "$rev" >/dev/null 2>&1
-build() {  # tree, folder, program
-  cmake -S "$1" -B "$2" -DCMAKE_BUILD_TYPE=Release -DPETRELRAIL_DRILL=OFF >/dev/null
+build() {  # source tree, build folder, program
+  # The adapter's option has two names: revisions before its renaming know PETRELRAIL_DRILL.
+  cmake --no-warn-unused-cli -S "$1" -B "$2" -DCMAKE_BUILD_TYPE=Release -DPETRELRAIL_SIMULATOR_ADAPTER=OFF -DPETRELRAIL_DRILL=OFF >/dev/null
   cmake --build "$2" --target petrelrail_node -j "$(nproc)" >/dev/null
   g++ -std=c++20 -O2 -fno-builtin-memcpy -fno-builtin-memmove -fno-tree-loop-distribute-patterns \
     -DBOOST_ASIO_SEPARATE_COMPILATION -DBOOST_BEAST_SEPARATE_COMPILATION -DBOOST_ASIO_NO_DEPRECATED \
--- a/bench/drill.cpp
+++ b/bench/simulator_adapter.cpp
@@ -1,5 +1,7 @@
-// The wire adapter: reads batches of events, hands each to its instance's Gateway, prints the
-// actions. It parses, translates and prints; every decision is the Gateway's.
+// Connects the decision module to an external simulator. Reads batches of events from standard
+// input, one JSON object a line, passes each event to the Gateway of its instance and writes the
+// resulting actions to standard output. Only parses, translates and prints: it decides nothing
+// itself.
 #include <array>
 #include <cstdio>
 #include <iostream>
@@ -22,8 +24,8 @@
   return buffer.data();
 }
 
-AttemptOutcome outcome(const json& o) {
-  static constexpr std::array<std::pair<const char*, AttemptOutcome>, 8> words{
+AttemptOutcome read_outcome(const json& o) {
+  static constexpr std::array<std::pair<const char*, AttemptOutcome>, 8> names{
       {{"pass", AttemptOutcome::ok},
        {"fault", AttemptOutcome::error},
        {"no_room", AttemptOutcome::overloaded},
@@ -32,7 +34,7 @@
        {"cut", AttemptOutcome::reset},
        {"undone", AttemptOutcome::cancelled},
        {"stale_send", AttemptOutcome::never_sent}}};
-  return enum_value(o, "disposition", words);
+  return enum_value(o, "disposition", names);
 }
 
 // ---- Instances ----------------------------------------------------------------------------------
@@ -50,35 +52,37 @@
 
 // ---- Events -------------------------------------------------------------------------------------
 
-struct Line {  // an entry of a registered page; its zone is resolved by the instance that reads it
+// An entry of a registered page. Its zone is a name, because each instance numbers the zones
+// itself.
+struct PageEntry {
   EndpointInfo info;
   std::string zone;
 };
-using Page = std::vector<Line>;
+using Page = std::vector<PageEntry>;
 
 Page read_page(const json& e) {
   Page page;
   for (const auto& l : list_of(field(e, "lines"), "lines")) {
     object_of(l, "lines");
-    Line line;
-    line.info.id = EndpointId(uint32(l, "server"));
-    line.info.cell = uint32(l, "cohort");
+    PageEntry entry;
+    entry.info.id = EndpointId(uint32(l, "server"));
+    entry.info.cell = uint32(l, "cohort");
     const auto phase = integer(l, "phase");
     if (phase < 0 || phase > 2) fail_field("phase", "0, 1 or 2");
-    line.info.phase = phase == 1   ? EndpointPhase::ready
-                      : phase == 2 ? EndpointPhase::draining
-                                   : EndpointPhase::gone;
+    entry.info.phase = phase == 1   ? EndpointPhase::ready
+                       : phase == 2 ? EndpointPhase::draining
+                                    : EndpointPhase::gone;
     if (const auto* t = optional_field(l, "last-start-ns"))
-      if (const auto at = integer_of(*t, "last-start-ns"); at != 0)
-        line.info.started = Time(Duration(at));
-    line.info.weight = number(l, "share");
-    line.zone = text(l, "area");
-    page.push_back(std::move(line));
+      if (const auto started_ns = integer_of(*t, "last-start-ns"); started_ns != 0)
+        entry.info.started = Time(Duration(started_ns));
+    entry.info.weight = number(l, "share");
+    entry.zone = text(l, "area");
+    page.push_back(std::move(entry));
   }
   return page;
 }
 
-std::optional<LoadReport> report(const json& e) {
+std::optional<LoadReport> read_load(const json& e) {
   const auto* r = optional_field(e, "report");
   if (!r) return std::nullopt;
   object_of(*r, "report");
@@ -89,31 +93,32 @@
   return LoadReport{value("active"), value("waiting"), value("cpu"), value("avg_ms")};
 }
 
-EndpointListUpdate membership(const json& e, const Instance& in,
-                              const std::map<std::int64_t, Page>& pages) {
-  EndpointListUpdate u;
-  const auto how = integer(e, "how");
-  if (how < 0 || how > 3) fail_field("how", "0, 1, 2 or 3");
-  u.kind = std::array{EndpointListKind::delta, EndpointListKind::full, EndpointListKind::cached,
-                      EndpointListKind::failed}[static_cast<std::size_t>(how)];
-  if (u.kind == EndpointListKind::failed) return u;
+EndpointListUpdate read_list_update(const json& e, const Instance& instance,
+                                    const std::map<std::int64_t, Page>& pages) {
+  EndpointListUpdate update;
+  const auto kind = integer(e, "how");
+  if (kind < 0 || kind > 3) fail_field("how", "0, 1, 2 or 3");
+  update.kind = std::array{EndpointListKind::delta, EndpointListKind::full,
+                           EndpointListKind::cached,
+                           EndpointListKind::failed}[static_cast<std::size_t>(kind)];
+  if (update.kind == EndpointListKind::failed) return update;
   const auto page = pages.find(integer(e, "page"));
   if (page == pages.end()) throw FieldError("field 'page' names a page that was not registered");
-  for (const auto& line : page->second) {
-    u.entries.push_back(line.info);
-    const auto zone = in.names.zones.find(line.zone);
-    if (zone == in.names.zones.end())
+  for (const auto& entry : page->second) {
+    update.entries.push_back(entry.info);
+    const auto zone = instance.names.zones.find(entry.zone);
+    if (zone == instance.names.zones.end())
       throw FieldError("field 'area' names nothing in the settings");
-    u.entries.back().zone = ZoneIndex(zone->second);
+    update.entries.back().zone = ZoneIndex(zone->second);
   }
-  return u;
+  return update;
 }
 
-RequestArrived arrival(const json& e, const Instance& in) {
+RequestArrived read_arrival(const json& e, const Instance& instance) {
   RequestArrived a;
   a.request = RequestId(hex(e, "ticket"));
-  a.request_class = ClassIndex(index_of(in.names.classes, e, "profile"));
-  a.plan = PlanIndex(index_of(in.names.plans, e, "package"));
+  a.request_class = ClassIndex(index_of(instance.names.classes, e, "profile"));
+  a.plan = PlanIndex(index_of(instance.names.plans, e, "package"));
   a.customer = CustomerId(hex(e, "account"));
   a.time_left = duration(e, "ttl-ns");
   a.units = number(e, "cost-units");
@@ -122,65 +127,67 @@
   return a;
 }
 
-AttemptEnded attempt_ended(const json& e) {
+AttemptEnded read_attempt_end(const json& e) {
   AttemptEnded a;
   a.request = RequestId(hex(e, "ticket"));
   a.attempt = uint32(e, "leg");
   a.endpoint = EndpointId(uint32(e, "server"));
-  a.outcome = outcome(e);
+  a.outcome = read_outcome(e);
   a.duration = duration(e, "rtt-ns");
   a.request_completed = boolean(e, "finished");
   a.settled_units = number_or_zero(e, "final-units");
-  a.load = report(e);
+  a.load = read_load(e);
   return a;
 }
 
-CounterResponse count_answer(const json& e) {
-  static constexpr std::array<std::pair<const char*, CounterOutcome>, 4> words{
+CounterResponse read_counter_response(const json& e) {
+  static constexpr std::array<std::pair<const char*, CounterOutcome>, 4> names{
       {{"pass", CounterOutcome::ok},
        {"no_room", CounterOutcome::refused},
        {"no_route", CounterOutcome::refused},
        {"too_slow", CounterOutcome::timeout}}};
   CounterResponse a;
   a.key = CounterKey(unsigned_integer_of(field(e, "tally-id"), "tally-id"));
-  a.outcome = enum_value(e, "disposition", words);
+  a.outcome = enum_value(e, "disposition", names);
   a.total = a.outcome == CounterOutcome::ok ? number(e, "level") : 0;
   a.duration = duration(e, "rtt-ns");
   return a;
 }
 
-// Events of the wire that no decision depends on: their fields are checked, and time goes on.
-Event stream_started(const json& e) {
+// Events that no decision depends on: their fields are validated, and they only advance the time.
+Event read_stream_start(const json& e) {
   hex(e, "ticket");
   uint32(e, "leg");
   return TimeAdvanced{};
 }
 
-Event peer_message(const json& e) {
+Event read_peer_message(const json& e) {
   uint32(e, "author");
   return TimeAdvanced{};
 }
 
-std::optional<Event> event_of(const std::string& kind, const json& e, const Instance& in,
-                              const std::map<std::int64_t, Page>& pages) {
-  if (kind == "ask") return arrival(e, in);
-  if (kind == "finished") return attempt_ended(e);
+// Returns nothing for an event of a kind that this version doesn't know.
+std::optional<Event> read_event(const std::string& kind, const json& e, const Instance& instance,
+                                const std::map<std::int64_t, Page>& pages) {
+  if (kind == "ask") return read_arrival(e, instance);
+  if (kind == "finished") return read_attempt_end(e);
   if (kind == "tick-due")
     return TimerDue{TimerId(unsigned_integer_of(field(e, "cookie"), "cookie"))};
-  if (kind == "ledger-reply") return count_answer(e);
+  if (kind == "ledger-reply") return read_counter_response(e);
   if (kind == "gone") return ClientDisconnected{RequestId(hex(e, "ticket"))};
-  if (kind == "membership") return membership(e, in, pages);
+  if (kind == "membership") return read_list_update(e, instance, pages);
   if (kind == "checked")
-    return HealthCheckEnded{EndpointId(uint32(e, "server")), outcome(e), duration(e, "rtt-ns"),
-                            report(e)};
-  if (kind == "first") return stream_started(e);
-  if (kind == "note-from") return peer_message(e);
-  return std::nullopt;  // an event of a later wire: passed over
+    return HealthCheckEnded{EndpointId(uint32(e, "server")), read_outcome(e), duration(e, "rtt-ns"),
+                            read_load(e)};
+  if (kind == "first") return read_stream_start(e);
+  if (kind == "note-from") return read_peer_message(e);
+  return std::nullopt;  // an event of a later protocol version is ignored
 }
 
 // ---- Actions ------------------------------------------------------------------------------------
 
-struct Printer {
+// Writes an action's fields into a JSON object.
+struct ActionWriter {
   json& a;
   void operator()(const Send& s) const {
     a["msg"] = "place";
@@ -233,7 +240,7 @@
 
 // ---- The process --------------------------------------------------------------------------------
 
-struct Process {
+struct Adapter {
   std::map<std::string, Instance> instances;
   std::map<std::int64_t, Page> pages;
 
@@ -256,16 +263,17 @@
     const auto it = instances.find(id);
     if (it == instances.end())
       throw FieldError("field 'node-id' names an instance that was not opened");
-    const auto event = event_of(kind, e, it->second, pages);
+    const auto event = read_event(kind, e, it->second, pages);
     if (!event) return;
     for (const auto& action : it->second.gateway.handle(now, *event)) {
       json a = {{"node-id", id}};
-      std::visit(Printer{a}, action);
+      std::visit(ActionWriter{a}, action);
       out.push_back(std::move(a));
     }
   }
 
-  std::string reply(const std::string& line) {
+  // Returns the response line to a batch. Throws an exception if the line is malformed.
+  std::string handle_batch(const std::string& line) {
     const json batch = json::parse(line);
     object_of(batch, "batch");
     const Time now{Duration(integer(batch, "wall-ns"))};
@@ -289,13 +297,13 @@
 
 int main() {
   std::ios::sync_with_stdio(false);
-  Process process;
+  Adapter adapter;
   std::string line;
   for (std::size_t number = 1; std::getline(std::cin, line); ++number) {
     try {
-      std::cout << process.reply(line) << '\n' << std::flush;
+      std::cout << adapter.handle_batch(line) << '\n' << std::flush;
     } catch (const std::exception& x) {
-      std::cerr << "petrelrail_drill: line " << number << ": " << x.what() << '\n';
+      std::cerr << "petrelrail_simulator_adapter: line " << number << ": " << x.what() << '\n';
       return 1;
     }
   }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs what is missing, builds the program and the lab, plays five real nodes through a kill and a silent counter, and
-# prints what came of it and where the report lies.
+# Installs missing packages, builds the node and the lab, runs five real nodes through a kill and a counter that does not
+# answer, and prints the result and the path of the report.
 set -eu
 cd "$(dirname "$0")/.."
 sh scripts/packages.sh plots
--- a/scripts/lab-baseline.sh
+++ b/scripts/lab-baseline.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Plays every scenario on the model with seeds 1 to 3 and prints the table of docs/lab.md. An argument names the tool.
+# Runs every scenario on the simulated runtime with seeds 1 to 3 and prints the table of docs/lab.md. The optional argument is
+# the path of petrelrail-lab.
 set -eu
 cd "$(dirname "$0")/.."
 lab=${1:-build/petrelrail-lab}
--- a/scripts/record-adapter-transcript.py
+++ b/scripts/record-adapter-transcript.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Records a transcript of the simulator adapter: a few hundred batches of events and what it answered to each.
+"""Records a transcript of the simulator adapter: 420 batches of events and its response to each.
 
 Usage: record-adapter-transcript.py ADAPTER INPUT OUTPUT
 
-The adapter's decisions lead the next events (answers of the counter, ends of attempts, timers), so that the transcript
-reaches every action that the adapter can give: place, decline, drop-request, add-and-get, wake-at, subscribe, remark.
-It never gives undo-send and test, which the decision module does not use, nor let-go, which needs a view of connections.
-The same adapter and seed give the same files. tests/adapter_test.cpp plays INPUT and wants OUTPUT, byte for byte.
+The adapter's actions determine later events (counter responses, ends of attempts, timers), so that the transcript contains
+every action that the adapter can emit: place, decline, drop-request, add-and-get, wake-at, subscribe, remark. It never emits
+undo-send and test, which the decision module does not use, nor let-go, which requires knowledge of connections. The same
+adapter and seed give the same files. tests/adapter_test.cpp replays INPUT and expects OUTPUT byte for byte.
 """
 import heapq
 import json
@@ -17,17 +17,17 @@
 SEED = 20261203
 BATCHES = 420
 NS = 1_000_000_000
-PLAN_OF_ACCOUNT = ["metered", "ceiling", "slots", "free", "metered"]  # a customer keeps its plan
+PLAN_OF_ACCOUNT = ["metered", "ceiling", "slots", "free", "metered"]  # each customer always has the same plan
 
 
-def request_class(name, idempotency, group, on_time, late):
-    return {"name": name, "gain": 1 + len(name) % 3, "group": group, "hard-limit-ns": 4 * on_time, "idempotency": idempotency,
-            "late-worth": late, "memory-span-ns": 600_000_000, "on-time-ns": on_time, "streamed": False}
+def request_class(name, idempotency, group, on_time_ns, late_worth):
+    return {"name": name, "gain": 1 + len(name) % 3, "group": group, "hard-limit-ns": 4 * on_time_ns, "idempotency": idempotency,
+            "late-worth": late_worth, "memory-span-ns": 600_000_000, "on-time-ns": on_time_ns, "streamed": False}
 
 
-def plan(name, rate, store, ceiling_rate, depth, max_out):
-    return {"name": name, "units-per-s": rate, "store-size": store, "ceiling-rate": ceiling_rate, "cap-depth": depth,
-            "max-out": max_out, "over-worth": 0, "overrun-cost": 1, "tolerance": 0, "value-factor": 1}
+def plan(name, rate, burst, ceiling_rate, ceiling_burst, max_in_flight):
+    return {"name": name, "units-per-s": rate, "store-size": burst, "ceiling-rate": ceiling_rate, "cap-depth": ceiling_burst,
+            "max-out": max_in_flight, "over-worth": 0, "overrun-cost": 1, "tolerance": 0, "value-factor": 1}
 
 
 def settings(index, discovery):
@@ -51,20 +51,20 @@
         self.random = random.Random(SEED)
         self.process = subprocess.Popen([adapter], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
         self.input, self.output = [], []
-        self.due = []  # (time, order, event)
+        self.scheduled = []  # heap of (time, order, event)
         self.order = 0
         self.now = 3600 * NS + 1
         self.totals = {}
-        self.counter = "serving"
-        self.legs = {}
-        self.tickets = 0
+        self.counter_state = "serving"
+        self.attempts = {}
+        self.request_count = 0
         self.serials = 0
 
-    def later(self, delay, event):
+    def schedule(self, delay_ns, event):
         self.order += 1
-        heapq.heappush(self.due, (self.now + max(1, int(delay)), self.order, event))
+        heapq.heappush(self.scheduled, (self.now + max(1, int(delay_ns)), self.order, event))
 
-    def play(self, events):
+    def send_batch(self, events):
         batch = {"batch": len(self.input) + 1, "happened": events, "wall-ns": self.now}
         line = json.dumps(batch, sort_keys=True)
         self.process.stdin.write(line + "\n")
@@ -75,56 +75,56 @@
         self.input.append(line)
         self.output.append(reply.rstrip("\n"))
         for action in json.loads(reply)["out"]:
-            self.follow(action)
+            self.react_to(action)
 
-    def follow(self, action):
+    def react_to(self, action):
         node, kind = action["node-id"], action["msg"]
         if kind == "wake-at":
-            self.later(action["delay-ns"], {"msg": "tick-due", "node-id": node, "cookie": action["cookie"]})
+            self.schedule(action["delay-ns"], {"msg": "tick-due", "node-id": node, "cookie": action["cookie"]})
         elif kind == "add-and-get":
-            self.count(node, action)
+            self.respond_to_counter_call(node, action)
         elif kind == "place":
-            self.attempt(node, action)
+            self.end_attempt(node, action)
 
-    def count(self, node, action):
+    def respond_to_counter_call(self, node, action):
         reply = {"msg": "ledger-reply", "node-id": node, "tally-id": action["tally-id"], "level": 0, "disposition": "pass"}
-        took = self.random.randint(1_000_000, 8_000_000)
-        if self.counter == "silent":
-            took, reply["disposition"] = 40_000_000, "too_slow"
-        elif self.counter == "busy" and self.random.random() < 0.5:
+        duration_ns = self.random.randint(1_000_000, 8_000_000)
+        if self.counter_state == "silent":
+            duration_ns, reply["disposition"] = 40_000_000, "too_slow"
+        elif self.counter_state == "busy" and self.random.random() < 0.5:
             reply["disposition"] = self.random.choice(["no_room", "no_route"])
         else:
             others = self.random.choice([0, 0, 1, 2])
             total = self.totals.get(action["tally-id"], 0) + action["n"] + others
             self.totals[action["tally-id"]] = total
             reply["level"] = total
-            if self.counter == "slow":
-                took = self.random.randint(15_000_000, 39_000_000)
-        reply["rtt-ns"] = took
-        self.later(took, reply)
+            if self.counter_state == "slow":
+                duration_ns = self.random.randint(15_000_000, 39_000_000)
+        reply["rtt-ns"] = duration_ns
+        self.schedule(duration_ns, reply)
 
-    def attempt(self, node, action):
+    def end_attempt(self, node, action):
         key = (node, action["ticket"])
-        leg = self.legs.get(key, 0)
-        self.legs[key] = leg + 1
+        attempt = self.attempts.get(key, 0)
+        self.attempts[key] = attempt + 1
         outcome = self.random.choices(["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"],
                                       [70, 6, 5, 3, 6, 5, 1, 1])[0]
         if action["server"] == 4 and self.random.random() < 0.7:
             outcome = "no_route"
-        took = min(action["within-ns"], self.random.randint(5_000_000, 450_000_000))
-        event = {"msg": "finished", "node-id": node, "ticket": action["ticket"], "leg": leg, "server": action["server"],
-                 "disposition": outcome, "rtt-ns": took, "finished": outcome == "pass"}
+        duration_ns = min(action["within-ns"], self.random.randint(5_000_000, 450_000_000))
+        event = {"msg": "finished", "node-id": node, "ticket": action["ticket"], "leg": attempt, "server": action["server"],
+                 "disposition": outcome, "rtt-ns": duration_ns, "finished": outcome == "pass"}
         if outcome == "pass":
             event["final-units"] = self.random.choice([0, 1, 0.5])
             event["report"] = {"active": 3, "waiting": None, "cpu": 0.5, "avg_ms": 12}
             if self.random.random() < 0.1:
-                self.later(took / 2, {"msg": "first", "node-id": node, "ticket": action["ticket"], "leg": leg})
-        self.later(took, event)
+                self.schedule(duration_ns / 2, {"msg": "first", "node-id": node, "ticket": action["ticket"], "leg": attempt})
+        self.schedule(duration_ns, event)
 
-    def ask(self, node):
-        self.tickets += 1
+    def create_request(self, node):
+        self.request_count += 1
         profile = self.random.choice(["read", "read", "store", "swap"])
-        ticket = f"{self.tickets:016x}"
+        ticket = f"{self.request_count:016x}"
         account = self.random.randint(1, 8)
         event = {"msg": "ask", "node-id": node, "ticket": ticket, "profile": profile,
                  "package": PLAN_OF_ACCOUNT[account % len(PLAN_OF_ACCOUNT)], "account": f"{account:016x}",
@@ -132,61 +132,61 @@
                  "cost-units": self.random.choice([1, 1, 2, 0.5, 3]), "doors": self.random.choice([1, 2, 3]), "set-start": 0,
                  "is-retry": self.random.random() < 0.1, "mutates": profile != "read"}
         if self.random.random() < 0.05:
-            self.later(self.random.randint(1, 300_000_000), {"msg": "gone", "node-id": node, "ticket": ticket})
+            self.schedule(self.random.randint(1, 300_000_000), {"msg": "gone", "node-id": node, "ticket": ticket})
         return event
 
-    def page(self, number, servers):
+    def register_page(self, number, servers):
         lines = [{"server": s, "cohort": s % 2, "phase": phase, "area": f"z{s % 2}", "class-of-host": "h",
                   "last-start-ns": start, "share": 1 + s % 3} for s, phase, start in servers]
         return {"msg": "register", "page": number, "lines": lines}
 
-    def membership(self, node, how, page):
+    def update_list(self, node, kind, page):
         self.serials += 1
-        return {"msg": "membership", "node-id": node, "how": how, "serial": self.serials, "page": page}
+        return {"msg": "membership", "node-id": node, "how": kind, "serial": self.serials, "page": page}
 
-    def open(self, node, index):
+    def open_instance(self, node, index):
         return {"msg": "open-instance", "node-id": node, "salt": 77 + index,
                 "facts": settings(index, "ask" if index == 1 else "push")}
 
-    def script(self, step, nodes):
-        """What happens to the world at a step, whatever the adapter decides."""
+    def scripted_events(self, step, nodes):
+        """Returns the events of a step that do not depend on the adapter's actions."""
         if step == 0:
-            return [self.open("n0", 0), self.open("n1", 1), self.open("n2", 2),
-                    self.page(0, [(s, 1, None) for s in range(1, 7)]), self.membership("n0", 2, 0),
-                    self.membership("n1", 1, 0), self.membership("n2", 1, 0)]
+            return [self.open_instance("n0", 0), self.open_instance("n1", 1), self.open_instance("n2", 2),
+                    self.register_page(0, [(s, 1, None) for s in range(1, 7)]), self.update_list("n0", 2, 0),
+                    self.update_list("n1", 1, 0), self.update_list("n2", 1, 0)]
         if step == 60:
-            return [self.page(1, [(2, 2, None), (3, 0, None), (7, 1, self.now), (8, 1, self.now)])] + [
-                self.membership(n, 0, 1) for n in nodes]
+            return [self.register_page(1, [(2, 2, None), (3, 0, None), (7, 1, self.now), (8, 1, self.now)])] + [
+                self.update_list(n, 0, 1) for n in nodes]
         if step == 120:
-            return [self.membership("n1", 3, 0), {"msg": "note-from", "node-id": "n0", "author": 1},
+            return [self.update_list("n1", 3, 0), {"msg": "note-from", "node-id": "n0", "author": 1},
                     {"msg": "checked", "node-id": "n0", "server": 1, "disposition": "pass", "rtt-ns": 1000}]
         if step == 150:
-            self.counter = "silent"
+            self.counter_state = "silent"
         if step == 190:
-            self.counter = "slow"
+            self.counter_state = "slow"
         if step == 230:
-            self.counter = "busy"
+            self.counter_state = "busy"
         if step == 260:
-            self.counter = "serving"
-            self.totals = {}  # the counter has lost its counts
+            self.counter_state = "serving"
+            self.totals = {}  # the counter lost its totals
         if step == 300:
-            return [{"msg": "detach", "node-id": "n2"}, self.open("n2", 2), self.membership("n2", 1, 0)]
+            return [{"msg": "detach", "node-id": "n2"}, self.open_instance("n2", 2), self.update_list("n2", 1, 0)]
         if step == 340:
-            return [self.page(2, [(s, 0, None) for s in range(1, 9)])] + [self.membership(n, 1, 2) for n in nodes]
+            return [self.register_page(2, [(s, 0, None) for s in range(1, 9)])] + [self.update_list(n, 1, 2) for n in nodes]
         if step == 360:
-            return [self.membership(n, 1, 0) for n in nodes] + [{"msg": "of-a-later-wire", "node-id": "n0"}]
+            return [self.update_list(n, 1, 0) for n in nodes] + [{"msg": "of-a-later-wire", "node-id": "n0"}]
         return []
 
     def run(self):
         nodes = ["n0", "n1", "n2"]
         for step in range(BATCHES):
-            events = self.script(step, nodes)
+            events = self.scripted_events(step, nodes)
             if step > 0:
                 self.now += self.random.randint(1_000_000, 60_000_000)
-            while self.due and self.due[0][0] <= self.now:
-                events.append(heapq.heappop(self.due)[2])
-            events += [self.ask(self.random.choice(nodes)) for _ in range(self.random.choice([0, 1, 2, 4]))]
-            self.play(events)
+            while self.scheduled and self.scheduled[0][0] <= self.now:
+                events.append(heapq.heappop(self.scheduled)[2])
+            events += [self.create_request(self.random.choice(nodes)) for _ in range(self.random.choice([0, 1, 2, 4]))]
+            self.send_batch(events)
         self.process.stdin.close()
         if self.process.wait() != 0:
             sys.exit("the adapter failed")
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,14 +1,14 @@
 #!/bin/sh
-# Installs what is missing, checks format and lint, configures, builds and runs all tests: plain, under sanitizers, and a
-# program that uses the installed package.
+# Installs missing packages, checks format and lint, then builds and runs all tests without and with sanitizers, and builds and
+# runs a program that uses the installed package.
 set -eu
 cd "$(dirname "$0")/.."
 jobs=$(nproc 2>/dev/null || echo 2)
-# Tests that are known to fail for a fault that is not mended yet: passed over by name, and printed.
+# Tests that fail because of a known fault: excluded by name, and printed at the end.
 red=$(sed -n 's/^\([A-Za-z0-9_/]*[.][A-Za-z0-9_/]*\): .*/\1/p' KNOWN-RED.txt | paste -sd '|' -)
 sh scripts/packages.sh
 
-# Compiled before, on this machine, in whatever checkout: taken from the cache.
+# Reuses object files of other checkouts on this machine.
 if command -v ccache >/dev/null 2>&1; then
   export CMAKE_CXX_COMPILER_LAUNCHER=ccache
   export CCACHE_BASEDIR="$PWD" CCACHE_NOHASHDIR=1 CCACHE_SLOPPINESS=pch_defines,time_macros,include_file_mtime
@@ -29,7 +29,7 @@
 cmake --build build-test/consumer -j "$jobs"
 build-test/consumer/petrelrail_example
 
-# Little optimisation and line tables alone: the sanitizers see the same, and the build takes less of CI's half hour.
+# -O1 and line tables only: the sanitizers find the same, and the build takes less of CI's limit of 30 minutes.
 cmake -S . -B build-asan -DCMAKE_BUILD_TYPE=RelWithDebInfo "-DCMAKE_CXX_FLAGS_RELWITHDEBINFO=-O1 -g1 -DNDEBUG" \
   -DPETRELRAIL_TESTS=ON -DPETRELRAIL_LAB=ON -DPETRELRAIL_SANITIZE=ON
 cmake --build build-asan -j "$jobs"
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -30,7 +30,8 @@
   std::ofstream(dir / "in") << input;
   const std::string base = dir.string();
   const int status = std::system(
-      (PETRELRAIL_DRILL " < " + base + "/in > " + base + "/out 2> " + base + "/err").c_str());
+      (PETRELRAIL_SIMULATOR_ADAPTER " < " + base + "/in > " + base + "/out 2> " + base + "/err")
+          .c_str());
   Result r;
   r.code = WEXITSTATUS(status);
   std::ifstream out(dir / "out");
--- a/tests/source_limits.cmake
+++ b/tests/source_limits.cmake
@@ -1,6 +1,6 @@
-# The limits that can be checked mechanically: size and line length of the decision module's files, and no tuned
-# constant or decision table outside it.
-set(most 400)  # lines of one file; the module as a whole is bounded no more
+# Checks size and line length of the decision module's files, and that no constant that tunes decisions and no decision table is
+# defined outside the module.
+set(max_lines 400)  # non-blank lines of one file; the module as a whole has no limit
 file(GLOB_RECURSE policy_files RELATIVE ${ROOT} ${ROOT}/src/policy/*)
 file(READ ${ROOT}/deploy/balancer.toml deploy)
 foreach(file IN LISTS policy_files)
@@ -25,8 +25,8 @@
     endif()
   endforeach()
   message(STATUS "${file}: ${count} lines that are not blank")
-  if(count GREATER most)
-    message(SEND_ERROR "${file} has ${count} lines that are not blank; ${most} at most")
+  if(count GREATER max_lines)
+    message(SEND_ERROR "${file} has ${count} lines that are not blank; ${max_lines} at most")
   endif()
 endforeach()
 if(NOT policy_files)
@@ -37,19 +37,19 @@
   message(SEND_ERROR "the top comment of src/policy/admission_controller.hpp must name the interface file")
 endif()
 
-# src/node/limits.hpp is left out: it names the values of the protocol and the safety limits of the sockets, each
-# with its reason, so that the rest of the edge node needs no number of its own.
+# src/node/limits.hpp is exempt: it defines the protocol's values and the sockets' safety limits, each with its reason, so that
+# the rest of the edge node needs no numbers.
 file(GLOB node_files RELATIVE ${ROOT} ${ROOT}/src/node/*.hpp ${ROOT}/src/node/*.cpp)
 list(REMOVE_ITEM node_files src/node/limits.hpp)
 file(GLOB common_files RELATIVE ${ROOT} ${ROOT}/src/common/*.hpp)
 if(NOT node_files)
   message(SEND_ERROR "src/node holds no sources to check")
 endif()
-foreach(file include/petrelrail/gateway.hpp include/petrelrail/settings.hpp include/petrelrail/events.hpp include/petrelrail/actions.hpp include/petrelrail/handover_state.hpp include/petrelrail/types.hpp bench/drill.cpp src/policy/gateway.cpp src/policy/settings_validation.cpp
+foreach(file include/petrelrail/gateway.hpp include/petrelrail/settings.hpp include/petrelrail/events.hpp include/petrelrail/actions.hpp include/petrelrail/handover_state.hpp include/petrelrail/types.hpp bench/simulator_adapter.cpp src/policy/gateway.cpp src/policy/settings_validation.cpp
              src/policy/decision_context.hpp src/policy/request_timers.hpp ${common_files} ${node_files})
   file(READ ${ROOT}/${file} other)
   string(REPLACE "HTTP/1.1" "HTTP" other "${other}")  # the protocol's version
-  # Named constants, fractions and durations with a value of their own have no place outside the module.
+  # Rejects named constants, fractions and durations with a literal value.
   string(REGEX MATCH "constexpr[^\n]*= *[0-9]|[^0-9a-zA-Z_][0-9]+\\.[1-9]|[1-9][0-9]*(ns|us|ms|s)[^a-zA-Z_0-9]" found "${other}")
   if(found)
     message(SEND_ERROR "${file} holds a number that looks tuned: ${found}")
