--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -250,7 +250,7 @@
                          });
   Simulation world(options.scenario, options.seed, agenda, model,
                    [&](Time now, const Observation& s) { recorder.saw(now, s); });
-  model.serve(world);
+  model.attach(world);
   world.begin(30s);
   Time shown{};
   bool began = false, stopped = false;
@@ -262,7 +262,7 @@
       options.progress(began ? seconds(agenda.now() - world.began_at()) : 0, recorder.figures());
       stopped = options.stopped();
     }
-    if (began && (world.over() || agenda.now() > world.ends_at())) break;
+    if (began && (world.is_over() || agenda.now() > world.ends_at())) break;
   }
   const Time end = agenda.now();
   while (model.views_agreed() < 1 && agenda.now() < end + kViews && !stopped)
--- a/lab/processes.cpp
+++ b/lab/processes.cpp
@@ -118,7 +118,7 @@
                       [self = shared_from_this()](const error_code& failed, std::size_t) {
                         if (self->gone_) return;
                         if (failed) return self->lost(false);
-                        if (self->try_) self->lab_.world_->taken(self->try_->id);
+                        if (self->try_) self->lab_.world_->received(self->try_->id);
                         if (!self->reading_) self->read();
                       });
   }
@@ -149,7 +149,7 @@
     try_.reset();
     ++served_;
     // Back through the network: late by the client's way, both directions at once.
-    lab_.agenda_.after(lab_.world_->client_way(),
+    lab_.agenda_.after(lab_.world_->client_delay(),
                        [world = lab_.world_, id, verdict, advice, genuine] {
                          world->answered(id, verdict, advice, genuine);
                        });
@@ -219,7 +219,7 @@
     lab_.attempts_.erase(std::exchange(attempt_, AttemptNumber::none));
     busy_ = false;
     const auto& wire = lab_.options_.scenario.wire;
-    const bool good = a == ServerAnswer::ok || a == ServerAnswer::spoilt;
+    const bool good = a == ServerAnswer::ok || a == ServerAnswer::truncated;
     const std::string body = good ? body_for(id, wire) : "no\n";
     const std::string_view head = a == ServerAnswer::error
                                       ? "HTTP/1.1 500 Internal Server Error\r\n"
@@ -227,7 +227,7 @@
                                       ? "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\n"
                                       : "HTTP/1.1 200 OK\r\n";
     auto dice = RandomStreams(lab_.options_.seed).stream("form", ++lab_.answers_);
-    form_ = good ? draw_form(wire, dice, a == ServerAnswer::spoilt) : AnswerForm{};
+    form_ = good ? draw_form(wire, dice, a == ServerAnswer::truncated) : AnswerForm{};
     if (form_.breaks) lab_.spoilt_.insert(id);
     const auto pieces = pieces_of(form_, head, body);
     pieces_.assign(pieces.begin(), pieces.end());
@@ -285,7 +285,8 @@
     id_ = ClientAttemptId(from_hex(it->value()));
     lab_.sent_on_.insert(id_);
     busy_ = true;
-    const auto late = 2 * lab_.world_->way(node_, server_) + std::exchange(fresh_, Duration{});
+    const auto late = 2 * lab_.world_->network_delay(node_, server_) +
+                      std::exchange(fresh_, Duration{});
     lab_.agenda_.after(late, [self = shared_from_this(), first = first_byte_] {
       if (self->gone_) return;
       self->attempt_ = self->lab_.world_->attempt(self->node_, self->server_, self->id_, first);
@@ -365,7 +366,7 @@
                             });
   }
   void came(const std::string& line) {
-    if (lab_.world_->counter_would_connect(node_) != Connect::up) {
+    if (lab_.world_->counter_would_connect(node_) != ConnectResult::up) {
       swallowed_ = true;
       if (const auto call = world::Counter::parse(line))
         lab_.world_->call(node_, *call, [](const auto&) {});
@@ -575,7 +576,7 @@
   auto& ports = nodes_[node].servers;
   if (ports.size() <= server) ports.resize(server + 1);
   ports[server] = std::make_unique<Port>(io_, address(node), [this, node, server](Tcp::socket s) {
-    if (world_->connect(node, server) != Connect::up) return reset(s);
+    if (world_->connect(node, server) != ConnectResult::up) return reset(s);
     const auto link = std::make_shared<ServerLink>(*this, node, server, std::move(s));
     nodes_[node].server_links.insert(link);
     link->begin();
@@ -782,7 +783,7 @@
     // The old addresses take nothing new, and what is open there ends a while later.
     const auto agent = std::make_shared<std::unique_ptr<Port>>(std::move(n.agent));
     const auto counter = std::make_shared<std::unique_ptr<Port>>(std::move(n.counter));
-    (*agent)->become(Connect::refused), (*counter)->become(Connect::refused);
+    (*agent)->become(ConnectResult::refused), (*counter)->become(ConnectResult::refused);
     open_agent(node), open_counter(node);
     n.counter->become(world_->counter_would_connect(node));
     const auto agents = n.agents;
@@ -900,7 +901,7 @@
 // ---- What the world has for the nodes -----------------------------------------------------------
 
 void Processes::submit(const ClientAttempt& t) {
-  agenda_.after(world_->client_way(), [this, id = t.id] {
+  agenda_.after(world_->client_delay(), [this, id = t.id] {
     if (const auto* sent = world_->find_waiting(id)) pass_on(*sent);
   });
 }
@@ -921,7 +922,7 @@
   link->begin(t);
 }
 
-void Processes::leave(ClientAttemptId id) {
+void Processes::disconnect_client(ClientAttemptId id) {
   for (auto& n : nodes_)
     std::erase_if(n.waiting, [id](const ClientAttempt& t) { return t.id == id; });
   if (const auto it = out_.find(id); it != out_.end()) {
@@ -960,7 +961,8 @@
     const auto counter = world_->counter_would_connect(i);
     n.counter->become(counter);
     for (const auto& l : std::set<std::shared_ptr<CounterLink>>(n.counter_links))
-      if (counter == Connect::refused || (counter == Connect::up && l->swallowed())) l->close(true);
+      if (counter == ConnectResult::refused || (counter == ConnectResult::up && l->swallowed()))
+        l->close(true);
   }
 }
 
@@ -1028,7 +1030,7 @@
       shown = at;
       options.progress(began ? seconds(at - world.began_at()) : 0, recorder.figures());
     }
-    if (began && (world.over() || at > world.ends_at())) {
+    if (began && (world.is_over() || at > world.ends_at())) {
       // Views are waited for, as long as they take within their bound, and looked at again and
       // again.
       if (options.scenario.fleet.members == "off" || carrier.views_agreed() == 1) break;
--- a/lab/processes.hpp
+++ b/lab/processes.hpp
@@ -45,7 +45,7 @@
   void upgrade_node(std::uint32_t node) override;
   bool has_idle_connection(std::uint32_t node) const override;
   void submit(const world::ClientAttempt& t) override;
-  void leave(world::ClientAttemptId id) override;
+  void disconnect_client(world::ClientAttemptId id) override;
   void answer(world::AttemptNumber attempt, world::ServerAnswer answer) override;
   void server_added(std::uint32_t server) override;
   void reset_connections(std::uint32_t server) override;
--- a/lab/wire.hpp
+++ b/lab/wire.hpp
@@ -73,22 +73,22 @@
   const Tcp::endpoint& at() const { return at_; }
   std::string text() const { return text_of(at_); }
 
-  void become(world::Connect state) {
+  void become(world::ConnectResult state) {
     if (state == state_) return;
     const auto before = std::exchange(state_, state);
     error_code ignored;
-    if (state == world::Connect::refused) {
+    if (state == world::ConnectResult::refused) {
       fillers_.clear();
       socket_->close(ignored);
       open(at_);  // holds the port
       return;
     }
-    if (before == world::Connect::refused || state == world::Connect::up) {
+    if (before == world::ConnectResult::refused || state == world::ConnectResult::up) {
       fillers_.clear();
-      if (before == world::Connect::silent) drain();
+      if (before == world::ConnectResult::silent) drain();
       listen();
     }
-    if (state == world::Connect::silent) fill();
+    if (state == world::ConnectResult::silent) fill();
   }
 
  private:
@@ -141,7 +141,7 @@
   Came came_;
   std::optional<Tcp::acceptor> socket_;
   Tcp::endpoint at_;
-  world::Connect state_ = world::Connect::up;
+  world::ConnectResult state_ = world::ConnectResult::up;
   std::uint64_t life_ = 0;
   std::list<std::unique_ptr<Tcp::socket>> fillers_;
 };
--- a/src/world/simulation.hpp
+++ b/src/world/simulation.hpp
@@ -1,7 +1,7 @@
-// The world that the edge nodes serve, put together: clients and their front, price servers,
-// counter, discovery, the network between them, and what goes wrong. It does no I/O and has no
-// clock: a carrier lets the agenda run and takes messages to the nodes and back, either as events
-// on a simulated clock or over sockets to real processes.
+// Simulates the environment of the edge nodes: clients and their front, price servers, quota
+// counter, discovery, the network between them, and injected faults. It does no I/O and has no
+// clock: a Runtime advances the event queue and passes messages between the simulation and the
+// nodes, either as events on a simulated clock or over sockets to real processes. Single-threaded.
 #pragma once
 
 #include <functional>
@@ -22,17 +22,18 @@
 
 namespace petrelrail::world {
 
-struct ClientAttempt {  // a client's request on its way to a node
+struct ClientAttempt {  // one sending of a client's request to a node
   ClientAttemptId id{}, root{};
-  std::uint32_t node = 0, plan = 0, number = 0;  // number: 0 for the first try
+  std::uint32_t node = 0, plan = 0, number = 0;  // number: 0 for the first
   CustomerId customer{};
-  std::size_t asker = 0;  // the customer's place in the world's table
+  std::size_t customer_index = 0;
   double units = 1;
-  std::uint32_t first = 0, spread = 1;       // the customer's set
-  Time asked{}, sent{}, deadline{}, last{};  // last: when the client gives up for good
+  std::uint32_t first = 0, spread = 1;  // the customer's set
+  // `final_deadline`: when the client stops waiting for any attempt of the request.
+  Time first_sent{}, sent{}, deadline{}, final_deadline{};
 };
 
-struct Entry {  // of the list, as discovery tells it
+struct Entry {  // of the endpoint list, as discovery sends it
   std::uint32_t server = 0;
   std::string id;
   std::uint32_t zone = 0, cell = 0;
@@ -41,70 +42,71 @@
   std::optional<Time> started;
 };
 
-enum class ServerAnswer { ok, error, full, spoilt };
+enum class ServerAnswer { ok, error, full, truncated };
 enum class AttemptNumber : std::uint64_t { none = 0 };
-enum class Connect { up, refused, silent };
+enum class ConnectResult { up, refused, silent };
 
-// How the world reaches the nodes.
+// Runs the nodes and passes messages from the simulation to them.
 class Runtime {
  public:
   virtual ~Runtime() = default;
-  virtual void start_node(std::uint32_t node) = 0;  // World::node_ready() follows
+  virtual void start_node(std::uint32_t node) = 0;  // Simulation::node_ready() follows
   virtual void kill_node(std::uint32_t node) = 0;   // at once
-  virtual void term_node(std::uint32_t node) = 0;   // World::node_ended() follows
+  virtual void term_node(std::uint32_t node) = 0;   // Simulation::node_ended() follows
   virtual void stall_node(std::uint32_t node, bool stalled) = 0;
   virtual void reload_node(std::uint32_t node, const Fault& fault) = 0;
   virtual void upgrade_node(std::uint32_t node) = 0;
-  // Whether clients have a connection to it that carries no request.
+  // Whether clients have a connection to the node that carries no request.
   virtual bool has_idle_connection(std::uint32_t) const { return false; }
-  virtual void submit(
-      const ClientAttempt& t) = 0;  // one of the calls under "what came of a try" follows, or none
-  virtual void leave(ClientAttemptId id) = 0;  // the client closes its connection
+  // Sends a client attempt to its node. At most one call of the group "Outcome of a client attempt"
+  // follows.
+  virtual void submit(const ClientAttempt& t) = 0;
+  virtual void disconnect_client(ClientAttemptId id) = 0;  // the client closes its connection
   virtual void answer(AttemptNumber attempt, ServerAnswer answer) = 0;
   virtual void server_added(std::uint32_t server) = 0;
   virtual void reset_connections(std::uint32_t server) = 0;
   virtual void list_changed(std::uint32_t node, std::span<const Entry> changes,
                             std::int64_t revision) = 0;
-  virtual void network_changed() = 0;  // cuts, servers and counter that come and go
+  virtual void network_changed() = 0;  // a partition, a price server or the counter changed state
   virtual void datagram(std::uint32_t from, std::uint32_t to, std::string_view payload) = 0;
 };
 
 class Simulation {
  public:
-  Simulation(const Scenario& scenario, std::uint64_t seed, EventQueue& agenda, Runtime& carrier,
-             std::function<void(Time, const Observation&)> watcher);
+  Simulation(const Scenario& scenario, std::uint64_t seed, EventQueue& queue, Runtime& runtime,
+             std::function<void(Time, const Observation&)> observer);
 
-  // Starts all nodes. Clients begin when all are ready, or after `patience`.
+  // Starts all nodes. Clients start when all are ready, or after `patience`.
   void begin(Duration patience);
-  bool node_up(std::uint32_t node) const { return nodes_[node].life == Life::up; }
+  bool node_up(std::uint32_t node) const { return nodes_[node].state == NodeState::up; }
   bool clients_began() const { return began_at_ != Time{}; }
   Time began_at() const { return began_at_; }
-  // Clients ask no more and nothing of theirs is open; faults go on until then.
-  bool over() const;
-  // The end of the last of the clients' requests at the latest.
+  // Whether clients have stopped sending and no client attempt is open; faults continue until then.
+  bool is_over() const;
+  // Latest time at which the last client attempt ends.
   Time ends_at() const;
 
-  // ---- From the nodes, by way of the carrier ----------------------------------------------------
+  // ---- Called by the runtime for the nodes ------------------------------------------------------
   void node_ready(std::uint32_t node);
-  void node_ended(std::uint32_t node);  // its process is gone, by itself or as it was told
-  void taken(ClientAttemptId id);
-  // What came of a try.
+  void node_ended(std::uint32_t node);  // its process has exited, planned or not
+  void received(ClientAttemptId id);
+  // Outcome of a client attempt.
   void answered(ClientAttemptId id, Verdict verdict, Duration retry_after, bool genuine);
   void broken(ClientAttemptId id, bool first_on_connection);
   void unreachable(ClientAttemptId id);
-  // A connection that a node opens to a price server.
-  Connect connect(std::uint32_t node, std::uint32_t server);
+  // A node opens a connection to a price server.
+  ConnectResult connect(std::uint32_t node, std::uint32_t server);
   void closed(std::uint32_t node, std::uint32_t server);
-  // A request that has come whole at a price server; `none` where nobody took it in.
+  // A request has arrived whole at a price server; returns `none` if no server received it.
   AttemptNumber attempt(std::uint32_t node, std::uint32_t server, ClientAttemptId id,
                         Time first_byte);
   void attempt_left(AttemptNumber attempt);
-  // `told` is called when the answer reaches the node's machine; not at all where none does.
+  // Calls `on_answer` when the answer reaches the node's machine, and never if no answer does.
   void call(std::uint32_t node, const Counter::Call& call,
-            std::function<void(const Counter::Answer&)> told);
+            std::function<void(const Counter::Answer&)> on_answer);
   void datagram(std::uint32_t from, std::uint32_t to, std::string payload);
 
-  // ---- What is so -------------------------------------------------------------------------------
+  // ---- State ------------------------------------------------------------------------------------
   struct List {
     std::map<std::uint32_t, Entry> entries;
     std::int64_t revision = 0;
@@ -114,50 +116,50 @@
   std::uint32_t zone_of_server(std::uint32_t server) const { return servers_.at(server).zone; }
   std::size_t servers() const { return servers_.size(); }
   const std::string& server_id(std::uint32_t server) const { return servers_.at(server).id; }
-  // Whether a new connection would come up; the counter's and discovery's likewise.
-  Connect would_connect(std::uint32_t node, std::uint32_t server) const;
-  Connect counter_would_connect(std::uint32_t node) const;
+  // The result that a new connection would have.
+  ConnectResult would_connect(std::uint32_t node, std::uint32_t server) const;
+  ConnectResult counter_would_connect(std::uint32_t node) const;
   bool talks_with_discovery(std::uint32_t node) const;
   bool passes(Party from, Party to) const { return network_.passes(from, to); }
-  Duration way(std::uint32_t node, std::uint32_t server);  // one way, drawn
-  Duration counter_way(std::uint32_t node);
-  Duration client_way() { return network_.client_delay(); }
+  Duration network_delay(std::uint32_t node, std::uint32_t server);  // one way, drawn at random
+  Duration counter_delay(std::uint32_t node);
+  Duration client_delay() { return network_.client_delay(); }
   Duration handshake(std::uint32_t node, std::uint32_t server);
   const ClientAttempt* find(ClientAttemptId id) const;
-  // The same, while its client waits; null too once that has gone.
+  // As find(), but null after the attempt ended or its client disconnected.
   const ClientAttempt* find_waiting(ClientAttemptId id) const;
-  // By fault of the scenario, what it has touched so far.
+  // Effects so far, by index of the fault in the scenario.
   const std::vector<std::uint64_t>& fault_effects() const { return effects_.counts(); }
-  EventQueue& agenda() { return agenda_; }
+  EventQueue& queue() { return queue_; }
   const Scenario& scenario() const { return scenario_; }
 
  private:
-  enum class Life { down, starting, up, ending };
+  enum class NodeState { down, starting, up, ending };
   struct Node {
-    Life life = Life::down;
-    bool front_sees = false;  // the front sends to it
-    bool comes_back = false;  // after its planned end
-    std::uint64_t lives = 0;
+    NodeState state = NodeState::down;
+    bool in_front = false;  // the clients' front sends requests to it
+    bool restarts = false;  // started again after a planned stop
+    std::uint64_t incarnation = 0;
     List list;
-    Time told_at{};                // the last news was written; later ones come no sooner
-    std::vector<Entry> held_back;  // while it can't hear discovery
+    Time last_notified{};            // time of the latest notification; later ones come no earlier
+    std::vector<Entry> undelivered;  // changes not sent while the node can't reach discovery
   };
   struct Server {
     std::string id;
     std::uint32_t zone = 0, cell = 0;
     PriceServer model;
     Time started{};
-    std::uint64_t life = 0;  // of what is scheduled for it
+    std::uint64_t incarnation = 0;  // events scheduled for an earlier one are ignored
     Time wakes_at = Time::max();
     double errors = 0;
     std::uint32_t connections = 0;
-    Entry listed;  // as discovery has it
+    Entry listed;  // the entry as discovery lists it
     bool slowed = false;
   };
-  struct OpenTry {
+  struct OpenClientAttempt {
     ClientAttempt t;
     bool ended = false, retried = false;
-    bool swallowed = false;  // its answer, by a cut
+    bool answer_dropped = false;  // a partition dropped the answer
   };
   struct Attempt {
     std::uint32_t node = 0, server = 0;
@@ -168,15 +170,15 @@
     CustomerId id{};
     std::uint32_t plan = 0, first = 0, spread = 1;
     double rate = 0;   // requests a second
-    double spike = 1;  // factor of a spike; 1: it has none
+    double spike = 1;  // factor of the rate in a spike; 1: no spikes
     Duration spike_for{}, spike_every{}, spike_phase{};
-    RandomStreams dice;
-    bool honours = true;
-    std::vector<double> weights{};  // over its set
-    std::int64_t shift = -1;        // the period the weights are of
+    RandomStreams random;
+    bool honours_retry_after = true;
+    std::vector<double> weights{};  // of the nodes of its set
+    std::int64_t shift = -1;        // the period that the weights belong to
   };
 
-  void see(const Observation& s) { watcher_(agenda_.now(), s); }
+  void observe(const Observation& s) { observer_(queue_.now(), s); }
   void make_servers();
   std::uint32_t add_server(std::uint32_t zone, std::uint32_t cell);
   void make_customers();
@@ -186,60 +188,61 @@
   std::optional<std::uint32_t> pick_node(Customer& c);
   std::uint32_t pick_plan(const Customer& c, ClientAttemptId id) const;
   bool takes_requests(std::uint32_t node) const;
-  void ask(std::size_t customer, const ClientAttempt* before);
-  void leave(ClientAttemptId id);
-  void time_up(ClientAttemptId id);
-  void retry(OpenTry& o, Duration advice);
+  void send_client_attempt(std::size_t customer, const ClientAttempt* before);
+  void disconnect_early(ClientAttemptId id);
+  void on_deadline(ClientAttemptId id);
+  void retry(OpenClientAttempt& o, Duration advice);
   void forget(ClientAttemptId id);
 
   void start_server(std::uint32_t server, bool cold);
-  void lose_server(std::uint32_t server, PriceServer::Phase as);
-  void wake(std::uint32_t server);
-  void run_server(std::uint32_t server);
+  void stop_server(std::uint32_t server, PriceServer::Phase as);
+  void schedule_wakeup(std::uint32_t server);
+  void advance_server(std::uint32_t server);
   void finish(AttemptNumber number, ServerAnswer answer);
-  void list(std::uint32_t server, EndpointPhase phase, Duration noticed,
-            std::optional<std::uint32_t> wrong_zone = {});
-  void tell(std::uint32_t node, std::vector<Entry> changes);
+  void publish_entry(std::uint32_t server, EndpointPhase phase, Duration noticed,
+                     std::optional<std::uint32_t> wrong_zone = {});
+  void notify(std::uint32_t node, std::vector<Entry> changes);
   void write_list(std::uint32_t node, std::vector<Entry> changes);
 
-  void start(std::uint32_t node);
-  void down(std::uint32_t node, bool crashed);
-  void planned_end(std::uint32_t node);
-
-  std::vector<std::uint32_t> pick(const Selector& s, std::size_t of, std::uint64_t number) const;
-  std::set<Party> parties(const std::vector<Selector>& selectors, std::uint64_t number) const;
-  std::vector<std::uint32_t> chosen(const Fault& f, Selector::Kind kind,
-                                    std::uint64_t number) const;
-  void schedule(const Fault& f, std::uint64_t number);
-  void strike(const Fault& f, std::uint64_t number);
+  void start_node(std::uint32_t node);
+  void mark_down(std::uint32_t node, bool crashed);
+  void stop_node(std::uint32_t node);
+
+  std::vector<std::uint32_t> select(const Selector& s, std::size_t of, std::uint64_t number) const;
+  std::set<Party> selected_parties(const std::vector<Selector>& selectors,
+                                   std::uint64_t number) const;
+  std::vector<std::uint32_t> selected(const Fault& f, Selector::Kind kind,
+                                      std::uint64_t number) const;
+  void schedule_fault(const Fault& f, std::uint64_t number);
+  void inject_fault(const Fault& f, std::uint64_t number);
   void lose_zone(const Fault& f);
   void replace(const std::vector<std::uint32_t>& servers, Duration over);
   void slow_server(std::uint32_t server, double factor);
 
   Scenario scenario_;
-  RandomStreams dice_;
-  EventQueue& agenda_;
-  Runtime& carrier_;
-  std::function<void(Time, const Observation&)> watcher_;
+  RandomStreams random_;
+  EventQueue& queue_;
+  Runtime& runtime_;
+  std::function<void(Time, const Observation&)> observer_;
   std::vector<Plan> plans_;
   Network network_;
   PeerNetwork peer_network_;
   Counter counter_;
-  RandomStreams works_, clients_, discovery_dice_;
+  RandomStreams work_random_, clients_random_, discovery_random_;
   std::vector<Node> nodes_;
   std::vector<Server> servers_;
   std::vector<Customer> customers_;
-  std::unordered_map<ClientAttemptId, OpenTry> tries_;
+  std::unordered_map<ClientAttemptId, OpenClientAttempt> client_attempts_;
   std::unordered_map<AttemptNumber, Attempt> attempts_;
-  std::uint64_t last_try_ = 0, last_attempt_ = 0;
+  std::uint64_t last_client_attempt_ = 0, last_attempt_ = 0;
   std::int64_t revision_ = 0;
   FaultEffects effects_;
-  double burst_ = 1, spoilt_ = 0;
-  Duration list_late_{};
-  Time began_at_{}, quiet_from_{};
+  double burst_factor_ = 1, truncated_share_ = 0;
+  Duration list_delay_{};
+  Time began_at_{}, clients_stop_at_{};
 };
 
-// What a fault is called in logs and reports: its kind, its figures and whom it hits.
+// Describes a fault in logs and reports: its kind, parameters and affected parties.
 std::string text_of(const Fault& f);
 
 }  // namespace petrelrail::world
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -193,7 +193,7 @@
     void reload_node(std::uint32_t, const world::Fault&) override {}
     void upgrade_node(std::uint32_t) override {}
     void submit(const world::ClientAttempt&) override {}
-    void leave(world::ClientAttemptId) override {}
+    void disconnect_client(world::ClientAttemptId) override {}
     void answer(world::AttemptNumber, world::ServerAnswer) override {}
     void server_added(std::uint32_t) override {}
     void reset_connections(std::uint32_t) override {}
