--- a/lab/process_runtime.cpp
+++ b/lab/process_runtime.cpp
@@ -128,7 +128,7 @@
                         if (self->is_closed_) return;
                         if (failed) return self->on_connection_lost(false);
                         if (self->client_attempt_)
-                          self->lab_.world_->taken(self->client_attempt_->id);
+                          self->lab_.world_->received(self->client_attempt_->id);
                         if (!self->is_reading_) self->read();
                       });
   }
@@ -159,7 +159,7 @@
     client_attempt_.reset();
     ++responses_;
     // Delays the answer by the client's network latency, both directions at once.
-    lab_.agenda_.after(lab_.world_->client_way(),
+    lab_.agenda_.after(lab_.world_->client_delay(),
                        [world = lab_.world_, id, verdict, retry_after, is_genuine] {
                          world->answered(id, verdict, retry_after, is_genuine);
                        });
@@ -231,7 +231,7 @@
     lab_.attempts_.erase(std::exchange(attempt_, AttemptNumber::none));
     is_busy_ = false;
     const auto& wire = lab_.options_.scenario.wire;
-    const bool is_ok = a == ServerAnswer::ok || a == ServerAnswer::spoilt;
+    const bool is_ok = a == ServerAnswer::ok || a == ServerAnswer::truncated;
     const std::string body = is_ok ? body_for(id, wire) : "no\n";
     const std::string_view head = a == ServerAnswer::error
                                       ? "HTTP/1.1 500 Internal Server Error\r\n"
@@ -239,7 +239,7 @@
                                       ? "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\n"
                                       : "HTTP/1.1 200 OK\r\n";
     auto dice = RandomStreams(lab_.options_.seed).stream("form", ++lab_.answers_);
-    form_ = is_ok ? draw_answer_form(wire, dice, a == ServerAnswer::spoilt) : AnswerForm{};
+    form_ = is_ok ? draw_answer_form(wire, dice, a == ServerAnswer::truncated) : AnswerForm{};
     if (form_.is_truncated) lab_.truncated_answers_.insert(id);
     const auto pieces = encode_answer(form_, head, body);
     pieces_.assign(pieces.begin(), pieces.end());
@@ -298,7 +298,7 @@
     id_ = ClientAttemptId(from_hex(it->value()));
     lab_.forwarded_.insert(id_);
     is_busy_ = true;
-    const auto delay = 2 * lab_.world_->way(node_, server_) +
+    const auto delay = 2 * lab_.world_->network_delay(node_, server_) +
                        std::exchange(handshake_delay_, Duration{});
     lab_.agenda_.after(delay, [self = shared_from_this(), first = first_byte_time_] {
       if (self->is_closed_) return;
@@ -379,7 +379,7 @@
                             });
   }
   void on_call(const std::string& line) {
-    if (lab_.world_->counter_would_connect(node_) != Connect::up) {
+    if (lab_.world_->counter_would_connect(node_) != ConnectResult::up) {
       has_dropped_calls_ = true;
       if (const auto call = world::Counter::parse(line))
         lab_.world_->call(node_, *call, [](const auto&) {});
@@ -593,7 +593,7 @@
   auto& ports = nodes_[node].server_ports;
   if (ports.size() <= server) ports.resize(server + 1);
   ports[server] = std::make_unique<Port>(io_, address(node), [this, node, server](Tcp::socket s) {
-    if (world_->connect(node, server) != Connect::up) return reset(s);
+    if (world_->connect(node, server) != ConnectResult::up) return reset(s);
     const auto link = std::make_shared<ServerLink>(*this, node, server, std::move(s));
     nodes_[node].server_links.insert(link);
     link->begin();
@@ -813,8 +813,8 @@
     const auto old_agent_port = std::make_shared<std::unique_ptr<Port>>(std::move(n.agent_port));
     const auto old_counter_port = std::make_shared<std::unique_ptr<Port>>(
         std::move(n.counter_port));
-    (*old_agent_port)->set_state(Connect::refused),
-        (*old_counter_port)->set_state(Connect::refused);
+    (*old_agent_port)->set_state(ConnectResult::refused),
+        (*old_counter_port)->set_state(ConnectResult::refused);
     open_agent(node), open_counter(node);
     n.counter_port->set_state(world_->counter_would_connect(node));
     const auto old_agent_links = n.agent_links;
@@ -934,7 +934,7 @@
 // ---- Calls of the simulation --------------------------------------------------------------------
 
 void ProcessRuntime::submit(const ClientAttempt& client_attempt) {
-  agenda_.after(world_->client_way(), [this, id = client_attempt.id] {
+  agenda_.after(world_->client_delay(), [this, id = client_attempt.id] {
     if (const auto* sent = world_->find_waiting(id)) forward(*sent);
   });
 }
@@ -956,7 +956,7 @@
   link->begin(client_attempt);
 }
 
-void ProcessRuntime::leave(ClientAttemptId id) {
+void ProcessRuntime::disconnect_client(ClientAttemptId id) {
   for (auto& n : nodes_)
     std::erase_if(n.queued_attempts,
                   [id](const ClientAttempt& client_attempt) { return client_attempt.id == id; });
@@ -996,8 +996,8 @@
     const auto counter_state = world_->counter_would_connect(i);
     n.counter_port->set_state(counter_state);
     for (const auto& l : std::set<std::shared_ptr<CounterLink>>(n.counter_links))
-      if (counter_state == Connect::refused ||
-          (counter_state == Connect::up && l->has_dropped_calls()))
+      if (counter_state == ConnectResult::refused ||
+          (counter_state == ConnectResult::up && l->has_dropped_calls()))
         l->close(true);
   }
 }
@@ -1069,7 +1069,7 @@
       last_progress_time = at;
       options.progress(has_begun ? seconds(at - world.began_at()) : 0, recorder.figures());
     }
-    if (has_begun && (world.over() || at > world.ends_at())) {
+    if (has_begun && (world.is_over() || at > world.ends_at())) {
       // Requests the membership views repeatedly until all agree, for at most kViewTimeout.
       if (options.scenario.fleet.members == "off" || runtime.agreeing_view_share() == 1) break;
       if (!end_time) end_time = at;
--- a/lab/wire.hpp
+++ b/lab/wire.hpp
@@ -74,22 +74,22 @@
   const Tcp::endpoint& endpoint() const { return endpoint_; }
   std::string text() const { return host_port(endpoint_); }
 
-  void set_state(world::Connect state) {
+  void set_state(world::ConnectResult state) {
     if (state == state_) return;
     const auto previous = std::exchange(state_, state);
     error_code ignored;
-    if (state == world::Connect::refused) {
+    if (state == world::ConnectResult::refused) {
       queue_fillers_.clear();
       socket_->close(ignored);
       open(endpoint_);  // keeps the port number reserved
       return;
     }
-    if (previous == world::Connect::refused || state == world::Connect::up) {
+    if (previous == world::ConnectResult::refused || state == world::ConnectResult::up) {
       queue_fillers_.clear();
-      if (previous == world::Connect::silent) discard_accept_queue();
+      if (previous == world::ConnectResult::silent) discard_accept_queue();
       listen();
     }
-    if (state == world::Connect::silent) fill_accept_queue();
+    if (state == world::ConnectResult::silent) fill_accept_queue();
   }
 
  private:
@@ -145,7 +145,7 @@
   OnAccept on_accept_;
   std::optional<Tcp::acceptor> socket_;
   Tcp::endpoint endpoint_;
-  world::Connect state_ = world::Connect::up;
+  world::ConnectResult state_ = world::ConnectResult::up;
   std::uint64_t accept_generation_ = 0;
   std::list<std::unique_ptr<Tcp::socket>> queue_fillers_;
 };
