--- a/lab/process_runtime.cpp
+++ b/lab/process_runtime.cpp
@@ -69,11 +69,12 @@
 // A connection of the front load balancer to a node, with one request at a time.
 class ProcessRuntime::FrontLink : public std::enable_shared_from_this<FrontLink> {
  public:
-  FrontLink(ProcessRuntime& lab, std::uint32_t node) : lab_(lab), node_(node), socket_(lab.io_) {}
+  FrontLink(ProcessRuntime& runtime, std::uint32_t node)
+      : runtime_(runtime), node_(node), socket_(runtime.io_) {}
 
   void begin(const Try& client_attempt) {
     prepare(client_attempt);
-    socket_.async_connect(lab_.nodes_[node_].listen,
+    socket_.async_connect(runtime_.nodes_[node_].listen,
                           [self = shared_from_this()](const error_code& failed) {
                             if (self->is_closed_) return;
                             if (failed) return self->on_connection_lost(true);
@@ -91,44 +92,44 @@
     error_code ignored;
     socket_.close(ignored);
     const auto self = shared_from_this();
-    std::erase(lab_.nodes_[node_].idle_front_links, self);
-    lab_.nodes_[node_].front_links.erase(self);
-    if (client_attempt_) lab_.in_flight_.erase(client_attempt_->id);
+    std::erase(runtime_.nodes_[node_].idle_front_links, self);
+    runtime_.nodes_[node_].front_links.erase(self);
+    if (client_attempt_) runtime_.in_flight_.erase(client_attempt_->id);
   }
 
  private:
   void prepare(const Try& client_attempt) {
     client_attempt_ = client_attempt;
-    lab_.in_flight_[client_attempt.id] = shared_from_this();
-    const auto& s = lab_.options_.scenario;
+    runtime_.in_flight_[client_attempt.id] = shared_from_this();
+    const auto& s = runtime_.options_.scenario;
     const bool is_safe = s.clients.effect == "safe";
     const bool is_keyed = s.clients.effect == "keyed";
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(client_attempt.deadline -
                                                                           client_attempt.sent)
                         .count();
-    text_ = std::string(is_safe ? "GET" : "POST") +
-            " /price-lookup HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: " +
-            hex(static_cast<std::uint64_t>(client_attempt.id)) +
-            "\r\nX-Priority-Class: price-lookup\r\nX-Plan: " +
-            s.clients.plans[client_attempt.plan].name +
-            "\r\nCookie: client=" + hex(static_cast<std::uint64_t>(client_attempt.customer)) +
-            "\r\nX-Timeout-Ms: " + std::to_string(ms) +
-            "\r\nX-Quota: units=1,spread=" + std::to_string(client_attempt.spread) +
-            ",first=" + std::to_string(client_attempt.first) +
-            (client_attempt.number > 0 ? "\r\nX-Retried: 1" : "") +
-            (is_keyed
-                 ? "\r\nIdempotency-Key: " + hex(static_cast<std::uint64_t>(client_attempt.root))
-                 : "") +
-            (is_safe ? "" : "\r\nContent-Length: 0") + "\r\n\r\n";
+    request_text_ = std::string(is_safe ? "GET" : "POST") +
+                    " /price-lookup HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: " +
+                    hex(static_cast<std::uint64_t>(client_attempt.id)) +
+                    "\r\nX-Priority-Class: price-lookup\r\nX-Plan: " +
+                    s.clients.plans[client_attempt.plan].name + "\r\nCookie: client=" +
+                    hex(static_cast<std::uint64_t>(client_attempt.customer)) +
+                    "\r\nX-Timeout-Ms: " + std::to_string(ms) +
+                    "\r\nX-Quota: units=1,spread=" + std::to_string(client_attempt.spread) +
+                    ",first=" + std::to_string(client_attempt.first) +
+                    (client_attempt.number > 0 ? "\r\nX-Retried: 1" : "") +
+                    (is_keyed ? "\r\nIdempotency-Key: " +
+                                    hex(static_cast<std::uint64_t>(client_attempt.root))
+                              : "") +
+                    (is_safe ? "" : "\r\nContent-Length: 0") + "\r\n\r\n";
   }
   void write() {
     parser_.emplace();
-    asio::async_write(socket_, asio::buffer(text_),
+    asio::async_write(socket_, asio::buffer(request_text_),
                       [self = shared_from_this()](const error_code& failed, std::size_t) {
                         if (self->is_closed_) return;
                         if (failed) return self->on_connection_lost(false);
                         if (self->client_attempt_)
-                          self->lab_.world_->taken(self->client_attempt_->id);
+                          self->runtime_.world_->taken(self->client_attempt_->id);
                         if (!self->is_reading_) self->read();
                       });
   }
@@ -153,18 +154,18 @@
     if (const auto it = response.find(http::field::retry_after); it != response.end())
       retry_after = from_seconds(std::strtod(std::string(it->value()).c_str(), nullptr));
     const bool is_genuine = verdict != Verdict::served ||
-                            response.body() == body_for(id, lab_.options_.scenario.wire);
+                            response.body() == body_for(id, runtime_.options_.scenario.wire);
     const bool keeps_alive = response.keep_alive();
-    lab_.in_flight_.erase(id);
+    runtime_.in_flight_.erase(id);
     client_attempt_.reset();
     ++responses_;
     // Delays the answer by the client's network latency, both directions at once.
-    lab_.agenda_.after(lab_.world_->client_way(),
-                       [world = lab_.world_, id, verdict, retry_after, is_genuine] {
-                         world->answered(id, verdict, retry_after, is_genuine);
-                       });
+    runtime_.agenda_.after(runtime_.world_->client_way(),
+                           [world = runtime_.world_, id, verdict, retry_after, is_genuine] {
+                             world->answered(id, verdict, retry_after, is_genuine);
+                           });
     if (!keeps_alive) return close();
-    auto& n = lab_.nodes_[node_];
+    auto& n = runtime_.nodes_[node_];
     if (!n.queued_attempts.empty()) {
       const auto next = n.queued_attempts.front();
       n.queued_attempts.pop_front();
@@ -180,22 +181,23 @@
     const bool has_no_response_bytes = !parser_ || !parser_->got_some();
     close();
     if (!client_attempt) return;
-    if (failed_to_connect) return lab_.world_->unreachable(client_attempt->id);
+    if (failed_to_connect) return runtime_.world_->unreachable(client_attempt->id);
     // The node closed the idle connection while the request was under way: sends it again on
     // another connection.
-    if (!is_first_request && has_no_response_bytes && !lab_.forwarded_.contains(client_attempt->id))
-      return lab_.forward(*client_attempt);
+    if (!is_first_request && has_no_response_bytes &&
+        !runtime_.forwarded_.contains(client_attempt->id))
+      return runtime_.forward(*client_attempt);
     // The price server's answer was truncated: the client sees that the request has failed.
-    if (!has_no_response_bytes && lab_.truncated_answers_.contains(client_attempt->id))
-      return lab_.world_->answered(client_attempt->id, Verdict::failed, {}, true);
-    lab_.world_->broken(client_attempt->id, is_first_request);
+    if (!has_no_response_bytes && runtime_.truncated_answers_.contains(client_attempt->id))
+      return runtime_.world_->answered(client_attempt->id, Verdict::failed, {}, true);
+    runtime_.world_->broken(client_attempt->id, is_first_request);
   }
 
-  ProcessRuntime& lab_;
+  ProcessRuntime& runtime_;
   std::uint32_t node_;
   Tcp::socket socket_;
   std::optional<Try> client_attempt_;
-  std::string text_;
+  std::string request_text_;
   beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
   std::uint64_t responses_ = 0;
@@ -206,12 +208,12 @@
 
 class ProcessRuntime::ServerLink : public std::enable_shared_from_this<ServerLink> {
  public:
-  ServerLink(ProcessRuntime& lab, std::uint32_t node, std::uint32_t server, Tcp::socket socket)
-      : lab_(lab), node_(node), server_(server), socket_(std::move(socket)) {}
+  ServerLink(ProcessRuntime& runtime, std::uint32_t node, std::uint32_t server, Tcp::socket socket)
+      : runtime_(runtime), node_(node), server_(server), socket_(std::move(socket)) {}
 
   // Loopback connects at once: the first request is delayed by the simulated handshake instead.
   void begin() {
-    handshake_delay_ = lab_.world_->handshake(node_, server_);
+    handshake_delay_ = runtime_.world_->handshake(node_, server_);
     read();
   }
   void close(bool by_reset) {
@@ -222,15 +224,15 @@
       error_code ignored;
       socket_.close(ignored);
     }
-    lab_.attempts_.erase(attempt_);
-    lab_.nodes_[node_].server_links.erase(shared_from_this());
+    runtime_.attempts_.erase(attempt_);
+    runtime_.nodes_[node_].server_links.erase(shared_from_this());
   }
   void answer(ServerAnswer a) {
     if (is_closed_) return;
-    const auto id = id_;
-    lab_.attempts_.erase(std::exchange(attempt_, AttemptNumber::none));
+    const auto id = client_attempt_id_;
+    runtime_.attempts_.erase(std::exchange(attempt_, AttemptNumber::none));
     is_busy_ = false;
-    const auto& wire = lab_.options_.scenario.wire;
+    const auto& wire = runtime_.options_.scenario.wire;
     const bool is_ok = a == ServerAnswer::ok || a == ServerAnswer::spoilt;
     const std::string body = is_ok ? body_for(id, wire) : "no\n";
     const std::string_view head = a == ServerAnswer::error
@@ -238,9 +240,9 @@
                                   : a == ServerAnswer::full
                                       ? "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\n"
                                       : "HTTP/1.1 200 OK\r\n";
-    auto dice = Dice(lab_.options_.seed).stream("form", ++lab_.answers_);
+    auto dice = Dice(runtime_.options_.seed).stream("form", ++runtime_.answers_);
     form_ = is_ok ? draw_answer_form(wire, dice, a == ServerAnswer::spoilt) : AnswerForm{};
-    if (form_.is_truncated) lab_.truncated_answers_.insert(id);
+    if (form_.is_truncated) runtime_.truncated_answers_.insert(id);
     const auto pieces = encode_answer(form_, head, body);
     pieces_.assign(pieces.begin(), pieces.end());
     write();
@@ -249,9 +251,9 @@
 
  private:
   void write() {
-    text_ = std::move(pieces_.front());
+    written_piece_ = std::move(pieces_.front());
     pieces_.pop_front();
-    asio::async_write(socket_, asio::buffer(text_),
+    asio::async_write(socket_, asio::buffer(written_piece_),
                       [self = shared_from_this()](const error_code& failed, std::size_t) {
                         if (self->is_closed_) return;
                         if (failed) return self->end(false);
@@ -260,7 +262,7 @@
   }
   void on_piece_written() {
     if (!pieces_.empty())
-      return lab_.agenda_.after(kPiecePause, [self = shared_from_this()] {
+      return runtime_.agenda_.after(kPiecePause, [self = shared_from_this()] {
         if (!self->is_closed_) self->write();
       });
     if (form_.is_truncated) return end(form_.ends_by_reset);
@@ -271,8 +273,8 @@
     if (is_closed_) return;
     const auto attempt = attempt_;
     close(by_reset);
-    lab_.world_->closed(node_, server_);
-    if (attempt != AttemptNumber::none) lab_.world_->attempt_left(attempt);
+    runtime_.world_->closed(node_, server_);
+    if (attempt != AttemptNumber::none) runtime_.world_->attempt_left(attempt);
   }
   void read() {
     parser_.emplace();
@@ -285,7 +287,7 @@
                             if (self->is_closed_) return;
                             if (failed) return self->end(false);
                             if (self->first_byte_time_ == Time{})
-                              self->first_byte_time_ = self->lab_.agenda_.now();
+                              self->first_byte_time_ = self->runtime_.agenda_.now();
                             if (!self->parser_->is_done()) return self->read_some();
                             self->on_request();
                           });
@@ -293,32 +295,34 @@
   void on_request() {
     const auto& request = parser_->get();
     const auto it = request.find("X-Request-ID");
-    // Pipelined requests and requests without an id are not of this lab.
+    // Rejects a second request before the answer to the first, and requests without an id, which
+    // are not from this lab's clients.
     if (is_busy_ || it == request.end()) return end(true);
-    id_ = TryId(from_hex(it->value()));
-    lab_.forwarded_.insert(id_);
+    client_attempt_id_ = TryId(from_hex(it->value()));
+    runtime_.forwarded_.insert(client_attempt_id_);
     is_busy_ = true;
-    const auto delay = 2 * lab_.world_->way(node_, server_) +
+    const auto delay = 2 * runtime_.world_->way(node_, server_) +
                        std::exchange(handshake_delay_, Duration{});
-    lab_.agenda_.after(delay, [self = shared_from_this(), first = first_byte_time_] {
+    runtime_.agenda_.after(delay, [self = shared_from_this(), first = first_byte_time_] {
       if (self->is_closed_) return;
-      self->attempt_ = self->lab_.world_->attempt(self->node_, self->server_, self->id_, first);
-      if (self->attempt_ != AttemptNumber::none) self->lab_.attempts_[self->attempt_] = self;
+      self->attempt_ = self->runtime_.world_->attempt(self->node_, self->server_,
+                                                      self->client_attempt_id_, first);
+      if (self->attempt_ != AttemptNumber::none) self->runtime_.attempts_[self->attempt_] = self;
     });
     read();
   }
 
-  ProcessRuntime& lab_;
+  ProcessRuntime& runtime_;
   std::uint32_t node_, server_;
   Tcp::socket socket_;
   beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::string_body>> parser_;
-  std::string text_;
+  std::string written_piece_;
   AnswerForm form_;
   std::deque<std::string> pieces_;  // of the current answer, not yet written
   Time first_byte_time_{};
   Duration handshake_delay_{};
-  TryId id_{};
+  TryId client_attempt_id_{};
   AttemptNumber attempt_ = AttemptNumber::none;
   bool is_busy_ = false, is_closed_ = false;
 };
@@ -327,8 +331,8 @@
 
 class ProcessRuntime::CounterLink : public std::enable_shared_from_this<CounterLink> {
  public:
-  CounterLink(ProcessRuntime& lab, std::uint32_t node, Tcp::socket socket)
-      : lab_(lab), node_(node), socket_(std::move(socket)), idle_timer_(lab.io_) {}
+  CounterLink(ProcessRuntime& runtime, std::uint32_t node, Tcp::socket socket)
+      : runtime_(runtime), node_(node), socket_(std::move(socket)), idle_timer_(runtime.io_) {}
 
   void begin() {
     restart_idle_timer();
@@ -343,7 +347,7 @@
       error_code ignored;
       socket_.close(ignored);
     }
-    lab_.nodes_[node_].counter_links.erase(shared_from_this());
+    runtime_.nodes_[node_].counter_links.erase(shared_from_this());
   }
   bool is_closed() const { return is_closed_; }
   void on_write_failed() { close(false); }
@@ -366,12 +370,13 @@
                             [self = shared_from_this()](const error_code& failed, std::size_t n) {
                               if (self->is_closed_) return;
                               if (failed) return self->close(false);
-                              self->text_.append(self->read_buffer_.data(), n);
+                              self->received_text_.append(self->read_buffer_.data(), n);
                               self->restart_idle_timer();
-                              for (auto end = self->text_.find("\r\n"); end != std::string::npos;
-                                   end = self->text_.find("\r\n")) {
-                                const auto line = self->text_.substr(0, end);
-                                self->text_.erase(0, end + 2);
+                              for (auto end = self->received_text_.find("\r\n");
+                                   end != std::string::npos;
+                                   end = self->received_text_.find("\r\n")) {
+                                const auto line = self->received_text_.substr(0, end);
+                                self->received_text_.erase(0, end + 2);
                                 self->on_call(line);
                                 if (self->is_closed_) return;
                               }
@@ -379,10 +384,10 @@
                             });
   }
   void on_call(const std::string& line) {
-    if (lab_.world_->counter_would_connect(node_) != Connect::up) {
+    if (runtime_.world_->counter_would_connect(node_) != Connect::up) {
       has_dropped_calls_ = true;
       if (const auto call = world::Counter::read(line))
-        lab_.world_->call(node_, *call, [](const auto&) {});
+        runtime_.world_->call(node_, *call, [](const auto&) {});
       return;
     }
     pending_answers_.push_back(std::make_shared<PendingAnswer>());
@@ -390,13 +395,13 @@
     if (line == "ping") return complete(pending, "pong", false);
     const auto call = world::Counter::read(line);
     if (!call) return complete(pending, "error", false);
-    lab_.world_->call(node_, *call,
-                      [self = shared_from_this(), pending](const world::Counter::Answer& a) {
-                        if (a.kind == world::Counter::Answer::Kind::refused)
-                          return self->close(true);
-                        self->complete(pending, world::Counter::written(a),
-                                       a.kind == world::Counter::Answer::Kind::spoilt);
-                      });
+    runtime_.world_->call(node_, *call,
+                          [self = shared_from_this(), pending](const world::Counter::Answer& a) {
+                            if (a.kind == world::Counter::Answer::Kind::refused)
+                              return self->close(true);
+                            self->complete(pending, world::Counter::written(a),
+                                           a.kind == world::Counter::Answer::Kind::spoilt);
+                          });
   }
   // Writes the completed answers in the order of their calls, up to the first malformed one.
   void complete(const std::shared_ptr<PendingAnswer>& pending, std::string text,
@@ -412,12 +417,12 @@
   }
   void flush() { output_.flush(shared_from_this(), socket_); }
 
-  ProcessRuntime& lab_;
+  ProcessRuntime& runtime_;
   std::uint32_t node_;
   Tcp::socket socket_;
   asio::steady_timer idle_timer_;
   std::array<char, 4096> read_buffer_{};
-  std::string text_;
+  std::string received_text_;
   OutputQueue output_;
   std::deque<std::shared_ptr<PendingAnswer>> pending_answers_;
   bool is_closed_ = false, has_dropped_calls_ = false;
@@ -427,8 +432,11 @@
 
 class ProcessRuntime::AgentLink : public std::enable_shared_from_this<AgentLink> {
  public:
-  AgentLink(ProcessRuntime& lab, std::uint32_t node, Tcp::socket socket)
-      : lab_(lab), node_(node), socket_(std::move(socket)), keep_alive_timer_(lab.io_) {}
+  AgentLink(ProcessRuntime& runtime, std::uint32_t node, Tcp::socket socket)
+      : runtime_(runtime),
+        node_(node),
+        socket_(std::move(socket)),
+        keep_alive_timer_(runtime.io_) {}
 
   void begin() { read(); }
   void close() {
@@ -436,12 +444,12 @@
     keep_alive_timer_.cancel();
     error_code ignored;
     socket_.close(ignored);
-    lab_.nodes_[node_].agent_links.erase(shared_from_this());
+    runtime_.nodes_[node_].agent_links.erase(shared_from_this());
   }
   bool is_closed() const { return is_closed_; }
   void on_write_failed() { close(); }
   void on_list_changed(std::span<const Entry> entries, std::int64_t revision) {
-    if (is_watch_) send_chunk(lab_.list_json(node_, entries, revision, false) + "\n");
+    if (is_watch_) send_chunk(runtime_.list_json(node_, entries, revision, false) + "\n");
   }
 
  private:
@@ -456,13 +464,13 @@
   }
   void on_request() {
     const std::string target(parser_->get().target());
-    const auto& list = lab_.world_->list(node_);
+    const auto& list = runtime_.world_->list(node_);
     std::vector<Entry> entries;
     for (const auto& [number, e] : list.entries) entries.push_back(e);
     if (!target.starts_with("/api/targets")) {
       output_.add("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
     } else if (target.find("watch=1") == std::string::npos) {
-      const auto body = lab_.list_json(node_, entries, list.revision, true);
+      const auto body = runtime_.list_json(node_, entries, list.revision, true);
       output_.add("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
                   std::to_string(body.size()) + "\r\n\r\n" + body);
     } else {
@@ -475,7 +483,7 @@
                                       ? 0
                                       : std::strtoll(target.c_str() + from + 5, nullptr, 10);
       if (known_revision != list.revision)
-        send_chunk(lab_.list_json(node_, entries, list.revision, true) + "\n");
+        send_chunk(runtime_.list_json(node_, entries, list.revision, true) + "\n");
       schedule_keep_alive();
     }
     flush();
@@ -485,7 +493,7 @@
     keep_alive_timer_.expires_after(kWatchKeepAlive);
     keep_alive_timer_.async_wait([self = shared_from_this()](const error_code& failed) {
       if (failed || self->is_closed_) return;
-      if (self->lab_.world_->talks_with_discovery(self->node_)) self->send_chunk("\n");
+      if (self->runtime_.world_->talks_with_discovery(self->node_)) self->send_chunk("\n");
       self->schedule_keep_alive();
     });
   }
@@ -497,7 +505,7 @@
   }
   void flush() { output_.flush(shared_from_this(), socket_); }
 
-  ProcessRuntime& lab_;
+  ProcessRuntime& runtime_;
   std::uint32_t node_;
   Tcp::socket socket_;
   asio::steady_timer keep_alive_timer_;
