--- a/lab/scenario_file.cpp
+++ b/lab/scenario_file.cpp
@@ -18,126 +18,130 @@
 
 using namespace world;
 
-constexpr double kMuch = 1e9;
+// Largest absolute value of an expectation's bound.
+constexpr double kMaxExpectationBound = 1e9;
 
-// One table of the file. Every key that is read is taken note of; finish() complains of the others.
+// Typed access to one table of the file. Each getter leaves its value unchanged where the key is
+// absent, throws ScenarioError for a wrong type or a value out of bounds, and marks the key as
+// used; finish() rejects the keys that no getter has used.
 class Reader {
  public:
-  Reader(const toml::table& table, std::string file, std::string at)
-      : table_(table), file_(std::move(file)), at_(std::move(at)) {}
+  Reader(const toml::table& table, std::string file, std::string path)
+      : table_(table), file_(std::move(file)), path_(std::move(path)) {}
 
   bool has(const char* key) const { return table_.contains(key); }
-  [[noreturn]] void wrong(const char* key, const std::string& what) const {
+  [[noreturn]] void fail(const char* key, const std::string& problem) const {
     const auto* node = table_.get(key);
     const auto line = (node != nullptr ? node->source() : table_.source()).begin.line;
-    throw ScenarioError(file_ + ":" + std::to_string(line) + ": " + (at_.empty() ? "" : at_ + ".") +
-                        key + ": " + what);
+    throw ScenarioError(file_ + ":" + std::to_string(line) + ": " +
+                        (path_.empty() ? "" : path_ + ".") + key + ": " + problem);
   }
   template <class Number>
-  void number(const char* key, Number& value, double least, double most) {
-    const auto* node = take(key);
+  void number(const char* key, Number& value, double min, double max) {
+    const auto* node = use(key);
     if (node == nullptr) return;
     const auto x = node->value<double>();
-    if (!x || node->is_boolean()) wrong(key, "a number is wanted");
-    if (std::is_integral_v<Number> && !node->is_integer()) wrong(key, "a whole number is wanted");
-    value = static_cast<Number>(bounded(key, *x, least, most));
+    if (!x || node->is_boolean()) fail(key, "a number is wanted");
+    if (std::is_integral_v<Number> && !node->is_integer()) fail(key, "a whole number is wanted");
+    value = static_cast<Number>(check_bounds(key, *x, min, max));
   }
-  // A number, or [least, most].
-  void range(const char* key, Range& value, double least, double most) {
-    const auto* node = take(key);
+  // Reads a number, which becomes both bounds, or an array [least, most].
+  void range(const char* key, Range& value, double min, double max) {
+    const auto* node = use(key);
     if (node == nullptr) return;
     if (const auto* pair = node->as_array()) {
       if (pair->size() != 2 || !pair->get(0)->is_number() || !pair->get(1)->is_number())
-        wrong(key, "a number or [least, most] is wanted");
+        fail(key, "a number or [least, most] is wanted");
       value = {*pair->get(0)->value<double>(), *pair->get(1)->value<double>()};
-      if (value.least > value.most) wrong(key, "the first is above the second");
+      if (value.least > value.most) fail(key, "the first is above the second");
     } else if (node->is_number()) {
       value.least = value.most = *node->value<double>();
     } else {
-      wrong(key, "a number or [least, most] is wanted");
+      fail(key, "a number or [least, most] is wanted");
     }
-    bounded(key, value.least, least, most), bounded(key, value.most, least, most);
+    check_bounds(key, value.least, min, max), check_bounds(key, value.most, min, max);
   }
-  void text(const char* key, std::string& value, std::initializer_list<std::string> among = {}) {
-    const auto* node = take(key);
+  void text(const char* key, std::string& value, std::initializer_list<std::string> allowed = {}) {
+    const auto* node = use(key);
     if (node == nullptr) return;
-    if (!node->is_string()) wrong(key, "a text is wanted");
+    if (!node->is_string()) fail(key, "a text is wanted");
     value = *node->value<std::string>();
-    if (among.size() == 0 || std::ranges::find(among, value) != among.end()) return;
+    if (allowed.size() == 0 || std::ranges::find(allowed, value) != allowed.end()) return;
     std::string list;
-    for (const auto& a : among) list += (list.empty() ? "" : ", ") + ("\"" + a + "\"");
-    wrong(key, "one of " + list + " is wanted");
+    for (const auto& a : allowed) list += (list.empty() ? "" : ", ") + ("\"" + a + "\"");
+    fail(key, "one of " + list + " is wanted");
   }
-  void truth(const char* key, bool& value) {
-    const auto* node = take(key);
+  void boolean(const char* key, bool& value) {
+    const auto* node = use(key);
     if (node == nullptr) return;
-    if (!node->is_boolean()) wrong(key, "true or false is wanted");
+    if (!node->is_boolean()) fail(key, "true or false is wanted");
     value = *node->value<bool>();
   }
-  // A text or several.
+  // Returns one string or an array of strings; empty where the key is absent.
   std::vector<std::string> texts(const char* key) {
-    const auto* node = take(key);
+    const auto* node = use(key);
     if (node == nullptr) return {};
-    std::vector<std::string> found;
+    std::vector<std::string> strings;
     if (const auto* list = node->as_array()) {
       for (const auto& e : *list) {
-        if (!e.is_string()) wrong(key, "texts are wanted");
-        found.push_back(*e.value<std::string>());
+        if (!e.is_string()) fail(key, "a list of texts is wanted");
+        strings.push_back(*e.value<std::string>());
       }
     } else if (node->is_string()) {
-      found.push_back(*node->value<std::string>());
+      strings.push_back(*node->value<std::string>());
     } else {
-      wrong(key, "a text or a list of texts is wanted");
+      fail(key, "a text or a list of texts is wanted");
     }
-    return found;
+    return strings;
   }
   std::optional<Reader> table(const char* key) {
-    const auto* node = take(key);
+    const auto* node = use(key);
     if (node == nullptr) return std::nullopt;
-    if (!node->is_table()) wrong(key, "a table is wanted");
-    return Reader(*node->as_table(), file_, at_.empty() ? key : at_ + "." + key);
+    if (!node->is_table()) fail(key, "a table is wanted");
+    return Reader(*node->as_table(), file_, path_.empty() ? key : path_ + "." + key);
   }
   std::vector<Reader> tables(const char* key) {
-    const auto* node = take(key);
+    const auto* node = use(key);
     if (node == nullptr) return {};
-    std::vector<Reader> found;
-    if (!node->is_array()) wrong(key, std::string("tables [[") + key + "]] are wanted");
+    std::vector<Reader> readers;
+    if (!node->is_array()) fail(key, std::string("tables [[") + key + "]] are wanted");
     for (const auto& e : *node->as_array()) {
-      if (!e.is_table()) wrong(key, std::string("tables [[") + key + "]] are wanted");
-      const auto index = "[" + std::to_string(found.size()) + "]";
-      found.emplace_back(*e.as_table(), file_, (at_.empty() ? key : at_ + "." + key) + index);
+      if (!e.is_table()) fail(key, std::string("tables [[") + key + "]] are wanted");
+      const auto index = "[" + std::to_string(readers.size()) + "]";
+      readers.emplace_back(*e.as_table(), file_, (path_.empty() ? key : path_ + "." + key) + index);
     }
-    return found;
+    return readers;
   }
   void finish() const {
     for (const auto& [key, node] : table_)
       if (!used_.contains(std::string(key.str())))
-        wrong(std::string(key.str()).c_str(), "there is no such key here");
+        fail(std::string(key.str()).c_str(), "there is no such key here");
   }
 
  private:
-  const toml::node* take(const char* key) {
+  // Marks the key as used; returns null where it is absent.
+  const toml::node* use(const char* key) {
     used_.insert(key);
     return table_.get(key);
   }
-  double bounded(const char* key, double x, double least, double most) const {
-    std::ostringstream says;
-    says << "it is from " << least << " to " << most;
-    if (!std::isfinite(x) || x < least || x > most) wrong(key, says.str());
+  double check_bounds(const char* key, double x, double min, double max) const {
+    std::ostringstream problem;
+    problem << "it is from " << min << " to " << max;
+    if (!std::isfinite(x) || x < min || x > max) fail(key, problem.str());
     return x;
   }
 
   const toml::table& table_;
-  std::string file_, at_;
+  std::string file_, path_;
   std::set<std::string> used_;
 };
 
 void read(Reader r, FleetTerms& t) {
   r.number("nodes", t.nodes, 1, 2000);
   if (r.has("zones")) t.zones = r.texts("zones");
-  if (t.zones.empty()) r.wrong("zones", "at least one is wanted");
+  if (t.zones.empty()) r.fail("zones", "at least one zone is wanted");
   if (std::set<std::string>(t.zones.begin(), t.zones.end()).size() != t.zones.size())
-    r.wrong("zones", "each has a name of its own");
+    r.fail("zones", "zone names must be unique");
   r.number("seconds", t.seconds, 1, 36000);
   r.number("start_s", t.start_s, 0, 60);
   r.number("term_s", t.term_s, 0.7, 60);
@@ -178,7 +182,7 @@
   r.number("error_rate", t.error_rate, 0, 1);
   r.number("drain_grace_s", t.drain_grace_s, 0, 60);
   r.number("drain_s", t.drain_s, 0, 600);
-  r.truth("drops_expired", t.drops_expired);
+  r.boolean("drops_expired", t.drops_expired);
   r.number("cell_size", t.cell_size, 1, 1000);
   r.finish();
 }
@@ -237,13 +241,14 @@
   r.number("open", t.open, 0, 1e6);
   r.number("ceiling", t.ceiling, 0, 1000);
   if (t.ceiling > 0 && t.ceiling < 1)
-    r.wrong("ceiling", "it is a multiple of the rate, 1 or more, or 0 for none");
+    r.fail("ceiling", "a multiple of the rate, 1 or more, or 0 for no ceiling, is wanted");
   r.finish();
   return t;
 }
 
-// The plans of the site's pages, with the middle of each range.
-std::vector<PlanTerms> usual_plans() {
+// Plans of a scenario that lists none: the operators' documented customer plans, each with the
+// middle of its documented range.
+std::vector<PlanTerms> default_plans() {
   return {{.name = "basic",
            .share = 0.31,
            .rate = 0.8,
@@ -267,7 +272,7 @@
   r.number("full", t.full, 0, 1);
   r.number("heavy", t.heavy, 0, 1);
   r.number("spiky", t.spiky, 0, 1);
-  if (t.full + t.heavy + t.spiky > 1) r.wrong("full", "with heavy and spiky it is above 1");
+  if (t.full + t.heavy + t.spiky > 1) r.fail("full", "the sum of full, heavy and spiky is above 1");
   r.range("heavy_x", t.heavy_x, 0.1, 100);
   r.range("spike_x", t.spike_x, 0.1, 100);
   r.range("spike_s", t.spike_s, 0.1, 600);
@@ -282,76 +287,82 @@
   r.range("notice_s", t.notice_s, 0, 60);
   r.number("aim_ms", t.aim_ms, 1, 600000);
   r.number("deadline_ms", t.deadline_ms, 1, 600000);
-  if (t.aim_ms > t.deadline_ms) r.wrong("aim_ms", "it is above deadline_ms");
+  if (t.aim_ms > t.deadline_ms) r.fail("aim_ms", "it is above deadline_ms");
   r.number("patience_ms", t.patience_ms, 0, 60000);
   r.text("effect", t.effect, {"safe", "keyed", "unsafe"});
   for (auto& p : r.tables("plan")) t.plans.push_back(read_plan(std::move(p), t.plans.size()));
-  if (t.plans.empty()) t.plans = usual_plans();
+  if (t.plans.empty()) t.plans = default_plans();
   r.finish();
 }
 
-// "nodes", "nodes 3", "nodes 0-6", "70% of nodes", "nodes in a"; servers likewise; counter,
-// discovery, clients.
-Selector selector(const Reader& r, const char* key, const std::string& text, const Scenario& s) {
-  const auto no = [&](const std::string& what) { r.wrong(key, "\"" + text + "\": " + what); };
-  Selector found;
-  std::istringstream words(text);
-  std::vector<std::string> word;
-  for (std::string w; words >> w;) word.push_back(w);
-  if (word.size() == 1 &&
-      (word[0] == "counter" || word[0] == "discovery" || word[0] == "clients")) {
-    found.kind = word[0] == "counter"     ? Selector::Kind::counter
-                 : word[0] == "discovery" ? Selector::Kind::discovery
-                                          : Selector::Kind::clients;
-    return found;
+// Parses the parties of a fault: "nodes", "nodes 3", "nodes 0-6", "70% of nodes" or "nodes in a",
+// the same with "servers", or "counter", "discovery" or "clients".
+Selector parse_selector(const Reader& r, const char* key, const std::string& text,
+                        const Scenario& s) {
+  const auto reject = [&](const std::string& problem) {
+    r.fail(key, "\"" + text + "\": " + problem);
+  };
+  Selector selected;
+  std::istringstream stream(text);
+  std::vector<std::string> words;
+  for (std::string w; stream >> w;) words.push_back(w);
+  if (words.size() == 1 &&
+      (words[0] == "counter" || words[0] == "discovery" || words[0] == "clients")) {
+    selected.kind = words[0] == "counter"     ? Selector::Kind::counter
+                    : words[0] == "discovery" ? Selector::Kind::discovery
+                                              : Selector::Kind::clients;
+    return selected;
   }
   const auto kind_of = [&](const std::string& w) {
     if (w != "nodes" && w != "servers")
-      no("nodes, servers, counter, discovery or clients are the parties");
+      reject("nodes, servers, counter, discovery or clients are the parties");
     return w == "nodes" ? Selector::Kind::nodes : Selector::Kind::servers;
   };
-  const auto natural = [&](std::string_view digits) {
+  const auto parse_index = [&](std::string_view digits) {
     std::uint32_t n = 0;
     const auto [end, failed] = std::from_chars(digits.data(), digits.data() + digits.size(), n);
     if (failed != std::errc{} || end != digits.data() + digits.size())
-      no("a number, or two with a dash, is wanted");
+      reject("a number, or two with a dash, is wanted");
     return n;
   };
-  if (word.empty()) no("whom?");
-  if (word.size() == 3 && word[0].ends_with('%') && word[1] == "of") {
-    found.kind = kind_of(word[2]), found.pick = Selector::Pick::share;
-    found.share = natural(std::string_view(word[0]).substr(0, word[0].size() - 1)) / 100.0;
-    if (found.share > 1) no("it is at most 100%");
-    return found;
+  if (words.empty()) reject("a party is wanted");
+  if (words.size() == 3 && words[0].ends_with('%') && words[1] == "of") {
+    selected.kind = kind_of(words[2]), selected.pick = Selector::Pick::share;
+    selected.share = parse_index(std::string_view(words[0]).substr(0, words[0].size() - 1)) / 100.0;
+    if (selected.share > 1) reject("it is at most 100%");
+    return selected;
   }
-  found.kind = kind_of(word[0]);
-  const auto of = found.kind == Selector::Kind::nodes ? s.fleet.nodes : s.servers.count;
-  if (word.size() == 1) return found;
-  if (word.size() == 3 && word[1] == "in") {
-    found.pick = Selector::Pick::zone, found.zone = word[2];
-    if (std::ranges::find(s.fleet.zones, found.zone) == s.fleet.zones.end())
-      no("there is no zone of that name");
-    return found;
+  selected.kind = kind_of(words[0]);
+  const auto count = selected.kind == Selector::Kind::nodes ? s.fleet.nodes : s.servers.count;
+  if (words.size() == 1) return selected;
+  if (words.size() == 3 && words[1] == "in") {
+    selected.pick = Selector::Pick::zone, selected.zone = words[2];
+    if (std::ranges::find(s.fleet.zones, selected.zone) == s.fleet.zones.end())
+      reject("there is no zone of that name");
+    return selected;
   }
-  if (word.size() != 2) no("it can't be read");
-  found.pick = Selector::Pick::range;
-  const auto dash = word[1].find('-');
-  found.first = natural(std::string_view(word[1]).substr(0, dash));
-  found.last = dash == std::string::npos ? found.first
-                                         : natural(std::string_view(word[1]).substr(dash + 1));
-  if (found.first > found.last) no("the first is above the last");
-  if (found.last >= of) no("there are only " + std::to_string(of) + " " + word[0] + ", from 0 on");
-  return found;
+  if (words.size() != 2) reject("it is no selection of nodes or servers");
+  selected.pick = Selector::Pick::range;
+  const auto dash = words[1].find('-');
+  selected.first = parse_index(std::string_view(words[1]).substr(0, dash));
+  selected.last = dash == std::string::npos
+                      ? selected.first
+                      : parse_index(std::string_view(words[1]).substr(dash + 1));
+  if (selected.first > selected.last) reject("the first is above the last");
+  if (selected.last >= count)
+    reject("there are only " + std::to_string(count) + " " + words[0] + ", from 0 on");
+  return selected;
 }
 
-struct KindTerms {
+// Keys that a kind of fault requires and accepts in the file.
+struct FaultKindKeys {
   FaultKind kind;
-  const char* who;                // "nodes", "servers", "any" or "": takes none
-  bool lasts;                     // `for` is wanted
-  std::set<std::string> figures;  // that it takes
+  const char* party;                    // allowed in `who`: "nodes", "servers", "any", "" (none)
+  bool requires_duration;               // `for` must be given
+  std::set<std::string> optional_keys;  // accepted beside kind, at and who
 };
-const KindTerms& terms_of(FaultKind kind) {
-  static const std::vector<KindTerms> all{
+const FaultKindKeys& keys_of(FaultKind kind) {
+  static const std::vector<FaultKindKeys> all{
       {FaultKind::kill, "nodes", false, {"for"}},
       {FaultKind::restart, "nodes", false, {"for"}},
       {FaultKind::stall, "nodes", true, {}},
@@ -374,51 +385,52 @@
       {FaultKind::list_wrong_zone, "servers", true, {}},
       {FaultKind::peers_lossy, "", true, {"share"}},
   };
-  return *std::ranges::find(all, kind, &KindTerms::kind);
+  return *std::ranges::find(all, kind, &FaultKindKeys::kind);
 }
 
 Fault read_fault(Reader r, const Scenario& s) {
   Fault f;
   std::string kind;
   r.text("kind", kind);
-  if (kind.empty()) r.wrong("kind", "it is missing");
+  if (kind.empty()) r.fail("kind", "it is missing");
   const auto known = fault_kind(kind);
-  if (!known) r.wrong("kind", "there is no fault \"" + kind + "\"");
+  if (!known) r.fail("kind", "there is no fault \"" + kind + "\"");
   f.kind = *known;
-  const auto& terms = terms_of(f.kind);
-  if (!r.has("at")) r.wrong("at", "it is missing");
+  const auto& keys = keys_of(f.kind);
+  if (!r.has("at")) r.fail("at", "it is missing");
   r.number("at", f.at, 0, s.fleet.seconds);
-  if (terms.lasts && !r.has("for")) r.wrong("for", "it is missing");
+  if (keys.requires_duration && !r.has("for")) r.fail("for", "it is missing");
   for (const char* key : {"from", "way", "connects", "factor", "share", "delay", "zone", "counter",
                           "empty", "move", "max_attempts"})
-    if (r.has(key) && !terms.figures.contains(key)) r.wrong(key, "the fault " + kind + " has none");
-  if (r.has("for") && !terms.lasts && !terms.figures.contains("for"))
-    r.wrong("for", "the fault " + kind + " has none");
+    if (r.has(key) && !keys.optional_keys.contains(key))
+      r.fail(key, "the fault " + kind + " has none");
+  if (r.has("for") && !keys.requires_duration && !keys.optional_keys.contains("for"))
+    r.fail("for", "the fault " + kind + " has none");
   r.number("for", f.lasts, 0.001, 36000);
   r.number("factor", f.factor, 0.01, 1000);
   r.number("share", f.share, 0, 1);
   r.number("delay", f.delay, 0, 600);
   r.number("max_attempts", f.max_attempts, 1, 20);
-  r.truth("counter", f.counter), r.truth("empty", f.empty), r.truth("move", f.move);
+  r.boolean("counter", f.counter), r.boolean("empty", f.empty), r.boolean("move", f.move);
   r.text("way", f.way, {"both", "out", "in"});
   r.text("connects", f.connects, {"silent", "reset"});
   r.text("zone", f.zone);
-  const std::string who = terms.who;
-  const bool named = r.has("who");
-  for (const auto& w : r.texts("who")) f.who.push_back(selector(r, "who", w, s));
-  for (const auto& w : r.texts("from")) f.from.push_back(selector(r, "from", w, s));
-  if (who.empty() && named) r.wrong("who", "the fault " + kind + " hits no party by name");
-  if (!who.empty() && f.who.empty()) r.wrong("who", "it is missing");
+  const std::string party = keys.party;
+  const bool has_who = r.has("who");
+  for (const auto& w : r.texts("who")) f.who.push_back(parse_selector(r, "who", w, s));
+  for (const auto& w : r.texts("from")) f.from.push_back(parse_selector(r, "from", w, s));
+  if (party.empty() && has_who) r.fail("who", "the fault " + kind + " takes no party");
+  if (!party.empty() && f.who.empty()) r.fail("who", "it is missing");
   for (const auto& w : f.who)
-    if ((who == "nodes" && w.kind != Selector::Kind::nodes) ||
-        (who == "servers" && w.kind != Selector::Kind::servers))
-      r.wrong("who", "the fault " + kind + " hits " + who);
-  if (f.kind == FaultKind::cut && f.from.empty()) r.wrong("from", "it is missing");
+    if ((party == "nodes" && w.kind != Selector::Kind::nodes) ||
+        (party == "servers" && w.kind != Selector::Kind::servers))
+      r.fail("who", "the fault " + kind + " hits " + party);
+  if (f.kind == FaultKind::cut && f.from.empty()) r.fail("from", "it is missing");
   if (f.kind == FaultKind::reload && f.max_attempts == 0 && !f.move)
-    r.wrong("move", "nothing is to change");
+    r.fail("move", "max_attempts or move is wanted");
   if (f.kind == FaultKind::zone_lost &&
       std::ranges::find(s.fleet.zones, f.zone) == s.fleet.zones.end())
-    r.wrong("zone", "there is no zone of that name");
+    r.fail("zone", "there is no zone of that name");
   r.finish();
   return f;
 }
@@ -428,19 +440,21 @@
   r.text("figure", e.figure);
   const auto names = Figures::names();
   if (std::ranges::find(names, e.figure) == names.end())
-    r.wrong("figure", "there is no figure \"" + e.figure + "\"");
+    r.fail("figure", "there is no figure \"" + e.figure + "\"");
   double bound = 0;
-  if (r.has("at_most")) r.number("at_most", bound, -kMuch, kMuch), e.at_most = bound;
-  if (r.has("at_least")) r.number("at_least", bound, -kMuch, kMuch), e.at_least = bound;
-  if (!e.at_most && !e.at_least) r.wrong("at_most", "a bound is missing: at_most or at_least");
+  if (r.has("at_most"))
+    r.number("at_most", bound, -kMaxExpectationBound, kMaxExpectationBound), e.at_most = bound;
+  if (r.has("at_least"))
+    r.number("at_least", bound, -kMaxExpectationBound, kMaxExpectationBound), e.at_least = bound;
+  if (!e.at_most && !e.at_least) r.fail("at_most", "a bound is missing: at_most or at_least");
   r.number("from", e.from, 0, s.fleet.seconds);
   if (r.has("to")) r.number("to", bound, e.from, s.fleet.seconds), e.to = bound;
   r.finish();
   return e;
 }
 
-// KEY=VALUE, laid over the file.
-void lay(toml::table& file, const std::string& set) {
+// Applies one override KEY=VALUE to the parsed file. A value that is no TOML is taken as a string.
+void apply_override(toml::table& file, const std::string& set) {
   const auto equals = set.find('=');
   if (equals == std::string::npos || equals == 0)
     throw ScenarioError("--set " + set + ": KEY=VALUE is wanted");
@@ -451,30 +465,32 @@
   } catch (const toml::parse_error&) {
     parsed.insert("x", value);
   }
-  toml::node* at = &file;
+  toml::node* node = &file;
   std::istringstream path(key);
-  std::vector<std::string> steps;
-  for (std::string step; std::getline(path, step, '.');) steps.push_back(step);
-  for (std::size_t i = 0; i < steps.size(); ++i) {
-    const bool last = i + 1 == steps.size();
-    const auto no = [&] { throw ScenarioError("--set " + set + ": there is no place " + key); };
-    if (auto* list = at->as_array()) {
+  std::vector<std::string> segments;
+  for (std::string segment; std::getline(path, segment, '.');) segments.push_back(segment);
+  for (std::size_t i = 0; i < segments.size(); ++i) {
+    const bool is_last = i + 1 == segments.size();
+    const auto reject = [&] {
+      throw ScenarioError("--set " + set + ": no entry of the file is at " + key);
+    };
+    if (auto* list = node->as_array()) {
       std::size_t index = 0;
-      const auto [end, failed] = std::from_chars(steps[i].data(), steps[i].data() + steps[i].size(),
-                                                 index);
-      if (failed != std::errc{} || end != steps[i].data() + steps[i].size() ||
-          index >= list->size() || last)
-        no();
-      at = list->get(index);
-    } else if (auto* table = at->as_table()) {
-      if (last) {
-        parsed.get("x")->visit([&](auto&& n) { table->insert_or_assign(steps[i], n); });
+      const auto [end, failed] = std::from_chars(segments[i].data(),
+                                                 segments[i].data() + segments[i].size(), index);
+      if (failed != std::errc{} || end != segments[i].data() + segments[i].size() ||
+          index >= list->size() || is_last)
+        reject();
+      node = list->get(index);
+    } else if (auto* table = node->as_table()) {
+      if (is_last) {
+        parsed.get("x")->visit([&](auto&& n) { table->insert_or_assign(segments[i], n); });
       } else {
-        if (!table->contains(steps[i])) table->insert(steps[i], toml::table{});
-        at = table->get(steps[i]);
+        if (!table->contains(segments[i])) table->insert(segments[i], toml::table{});
+        node = table->get(segments[i]);
       }
     } else {
-      no();
+      reject();
     }
   }
 }
@@ -490,7 +506,7 @@
     throw ScenarioError(path + ":" + std::to_string(x.source().begin.line) + ": " +
                         std::string(x.description()));
   }
-  for (const auto& s : sets) lay(file, s);
+  for (const auto& s : sets) apply_override(file, s);
   Reader r(file, path, "");
   Scenario s;
   s.name = std::filesystem::path(path).stem().string();
@@ -503,13 +519,13 @@
     read(std::move(*t), s.counter);
     if (!s.counter.zone.empty() &&
         std::ranges::find(s.fleet.zones, s.counter.zone) == s.fleet.zones.end())
-      counter.wrong("zone", "there is no zone of that name");
+      counter.fail("zone", "there is no zone of that name");
   }
   if (auto t = r.table("discovery")) read(std::move(*t), s.discovery);
   if (auto t = r.table("clients"))
     read(std::move(*t), s.clients);
   else
-    s.clients.plans = usual_plans();
+    s.clients.plans = default_plans();
   if (auto t = r.table("peers")) read(std::move(*t), s.peers);
   if (auto t = r.table("prices")) read(std::move(*t), s.prices);
   for (auto& t : r.tables("fault")) s.faults.push_back(read_fault(std::move(t), s));
