--- a/lab/compare.cpp
+++ b/lab/compare.cpp
@@ -15,27 +15,30 @@
 
 Comparison compare(Options a, Options b, std::uint64_t first_seed, std::uint32_t seeds,
                    const std::vector<std::string>& figures) {
-  Comparison all;
-  std::map<std::string, std::vector<double>> of_a, of_b, differences;
-  for (std::uint32_t i = 0; i < seeds && !all.stopped; ++i) {
+  Comparison comparison;
+  std::map<std::string, std::vector<double>> values_a, values_b, differences;
+  for (std::uint32_t i = 0; i < seeds && !comparison.stopped; ++i) {
     a.seed = b.seed = first_seed + i;
-    const auto played_a = play(a), played_b = play(b);
-    for (const auto& [side, played] : {std::pair{"A", &played_a}, {"B", &played_b}}) {
-      const auto where = std::string(side) + ", seed " + std::to_string(a.seed) + ": ";
-      for (const auto& text : played->breaches) all.complaints.push_back(where + text);
-      if (!played->void_because.empty())
-        all.complaints.push_back(where + "void: " + played->void_because);
-      if (!played->crash.empty()) all.complaints.push_back(where + played->crash);
-      all.stopped = all.stopped || played->stopped;
+    const auto result_a = run_scenario(a), result_b = run_scenario(b);
+    for (const auto& [side, result] : {std::pair{"A", &result_a}, {"B", &result_b}}) {
+      const auto prefix = std::string(side) + ", seed " + std::to_string(a.seed) + ": ";
+      for (const auto& text : result->violations) comparison.problems.push_back(prefix + text);
+      if (!result->void_reason.empty())
+        comparison.problems.push_back(prefix + "void: " + result->void_reason);
+      if (!result->crash.empty()) comparison.problems.push_back(prefix + result->crash);
+      comparison.stopped = comparison.stopped || result->stopped;
     }
     for (const auto& f : figures) {
-      const double x = played_a.figures["figures"][f], y = played_b.figures["figures"][f];
-      of_a[f].push_back(x), of_b[f].push_back(y), differences[f].push_back(y - x);
+      const double value_a = result_a.figures["figures"][f],
+                   value_b = result_b.figures["figures"][f];
+      values_a[f].push_back(value_a), values_b[f].push_back(value_b),
+          differences[f].push_back(value_b - value_a);
     }
   }
   for (const auto& f : figures)
-    all.figures.push_back({f, spread_of(of_a[f]), spread_of(of_b[f]), spread_of(differences[f])});
-  return all;
+    comparison.rows.push_back(
+        {f, spread_of(values_a[f]), spread_of(values_b[f]), spread_of(differences[f])});
+  return comparison;
 }
 
 }  // namespace petrelrail::lab
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -14,10 +14,11 @@
 using namespace world;
 using nlohmann::json;
 
-// Where simulated time begins: any whole time serves, as long as it is always the same.
-constexpr Time kModelBegins{Duration(1'700'000'000'000'000'000)};
-constexpr Duration kProgress = 500ms, kStep = 50ms;
-constexpr Duration kViews = 60s;  // after the clients' end, for views to agree
+// Start of simulated time: arbitrary, but fixed, so that runs are reproducible.
+constexpr Time kModelStart{Duration(1'700'000'000'000'000'000)};
+constexpr Duration kProgressInterval = 500ms, kStep = 50ms;
+// Limit for the nodes' views to agree after the clients have ended.
+constexpr Duration kMaxViewAgreementTime = 60s;
 
 std::string hex(std::uint64_t n) {
   char text[17];
@@ -38,29 +39,29 @@
   return text;
 }
 
-// The parts of a record as JSON, for the trace.
-struct Describe {
+// Visitor that writes the fields of a record as JSON into `e`, for events.jsonl.
+struct EventWriter {
   json& e;
-  void named(const char* what, TryId id) const {
-    e["event"] = what, e["id"] = hex(static_cast<std::uint64_t>(id));
+  void set_request_event(const char* name, TryId id) const {
+    e["event"] = name, e["id"] = hex(static_cast<std::uint64_t>(id));
   }
   void operator()(const TrySent& s) const {
-    named("sent", s.id);
+    set_request_event("sent", s.id);
     e["node"] = s.node, e["customer"] = hex(static_cast<std::uint64_t>(s.customer)),
     e["plan"] = s.plan;
     if (s.id != s.root) e["retry_of"] = hex(static_cast<std::uint64_t>(s.root));
   }
-  void operator()(const TryTaken& s) const { named("taken", s.id); }
+  void operator()(const TryTaken& s) const { set_request_event("taken", s.id); }
   void operator()(const TryAnswered& s) const {
-    named(s.verdict == Verdict::served    ? "served"
-          : s.verdict == Verdict::refused ? "refused"
-                                          : "failed",
-          s.id);
+    set_request_event(s.verdict == Verdict::served    ? "served"
+                      : s.verdict == Verdict::refused ? "refused"
+                                                      : "failed",
+                      s.id);
     if (!s.genuine) e["genuine"] = false;
   }
-  void operator()(const TryBroken& s) const { named("broken", s.id); }
-  void operator()(const TryUnreachable& s) const { named("unreachable", s.id); }
-  void operator()(const TryLeft& s) const { named("left", s.id); }
+  void operator()(const TryBroken& s) const { set_request_event("broken", s.id); }
+  void operator()(const TryUnreachable& s) const { set_request_event("unreachable", s.id); }
+  void operator()(const TryLeft& s) const { set_request_event("left", s.id); }
   void operator()(const NodeUp& s) const { e["event"] = "node up", e["node"] = s.node; }
   void operator()(const NodeDown& s) const {
     e["event"] = s.crashed ? "node crashed" : "node down", e["node"] = s.node;
@@ -83,12 +84,12 @@
     e["server"] = static_cast<std::uint32_t>(s.server);
   }
   void operator()(const AttemptArrived& s) const {
-    named("arrived", s.id);
+    set_request_event("arrived", s.id);
     e["node"] = s.node, e["server"] = static_cast<std::uint32_t>(s.server),
     e["attempt"] = s.attempt;
   }
   void operator()(const AttemptOver& s) const {
-    named("attempt over", s.id);
+    set_request_event("attempt over", s.id);
     e["attempt"] = s.attempt, e["never_ran"] = s.never_ran;
   }
   void operator()(const CounterCalled& s) const {
@@ -107,7 +108,7 @@
   }
 };
 
-// Few and far between, so that they are written without a trace too.
+// Returns true for records that are rare enough to be written without --trace.
 bool always_written(const Seen& s) {
   return std::holds_alternative<NodeUp>(s) || std::holds_alternative<NodeDown>(s) ||
          std::holds_alternative<ServerStarted>(s) || std::holds_alternative<ServerFell>(s) ||
@@ -117,9 +118,10 @@
 
 }  // namespace
 
-int Played::status() const {
+int RunResult::status() const {
   if (!crash.empty()) return 3;
-  return failures.empty() && breaches.empty() && void_because.empty() && !stopped ? 0 : 1;
+  return unmet_expectations.empty() && violations.empty() && void_reason.empty() && !stopped ? 0
+                                                                                             : 1;
 }
 
 Recorder::Recorder(const Options& options, Time begin)
@@ -135,12 +137,12 @@
   logs_.resize(options.scenario.fleet.nodes);
 }
 
-void Recorder::began(Time at) {
+void Recorder::set_clients_start(Time at) {
   begin_ = at;
   figures_ = Figures(options_.scenario, at);
 }
 
-void Recorder::event(Time now, json e) {
+void Recorder::write_event(Time now, json e) {
   if (!events_) return;
   json line = {{"t", std::round(seconds(now - begin_) * 1e6) / 1e6}};
   line.update(e);
@@ -150,19 +152,19 @@
 void Recorder::write(Time now, const Seen& s) {
   if (!events_ || !(options_.trace || always_written(s))) return;
   json e;
-  std::visit(Describe{e}, s);
-  event(now, std::move(e));
+  std::visit(EventWriter{e}, s);
+  write_event(now, std::move(e));
 }
 
-void Recorder::saw(Time now, const Seen& s) {
+void Recorder::record(Time now, const Seen& s) {
   write(now, s);
   rules_.saw(now, s);
   figures_.saw(now, s, rules_);
-  if (now - passed_at_ > 250ms) rules_.pass(now), passed_at_ = now;
-  for (; breaches_told_ < rules_.breaches().size(); ++breaches_told_) {
-    const auto& b = rules_.breaches()[breaches_told_];
+  if (now - last_check_time_ > 250ms) rules_.pass(now), last_check_time_ = now;
+  for (; reported_violations_ < rules_.breaches().size(); ++reported_violations_) {
+    const auto& b = rules_.breaches()[reported_violations_];
     figures_.breached(b.at);
-    event(b.at, {{"event", "rule broken"}, {"rule", b.rule}, {"what", b.what}});
+    write_event(b.at, {{"event", "rule broken"}, {"rule", b.rule}, {"what", b.what}});
   }
 }
 
@@ -175,18 +177,18 @@
   *log << number(seconds(now - begin_)) << ' ' << text << '\n';
 }
 
-Played Recorder::finish(Time now, const json& of_the_lab, bool stopped) {
+RunResult Recorder::finish(Time now, const json& lab_json, bool stopped) {
   rules_.pass(stopped ? now : now + 1h);
-  for (; breaches_told_ < rules_.breaches().size(); ++breaches_told_)
-    figures_.breached(rules_.breaches()[breaches_told_].at);
-  Played o;
-  const double all = options_.scenario.fleet.seconds;
+  for (; reported_violations_ < rules_.breaches().size(); ++reported_violations_)
+    figures_.breached(rules_.breaches()[reported_violations_].at);
+  RunResult result;
+  const double duration_s = options_.scenario.fleet.seconds;
   for (const auto& b : rules_.breaches())
-    o.breaches.push_back("rule broken at " + number(seconds(b.at - begin_)) + " s: " + b.rule +
-                         ": " + b.what);
+    result.violations.push_back("rule broken at " + number(seconds(b.at - begin_)) +
+                                " s: " + b.rule + ": " + b.what);
   json expectations = json::array();
   for (const auto& e : options_.scenario.expectations) {
-    const double to = e.to.value_or(all);
+    const double to = e.to.value_or(duration_s);
     const double value = figures_.value(e.figure, e.from, to).value_or(0);
     const bool holds = (!e.at_most || value <= *e.at_most) && (!e.at_least || value >= *e.at_least);
     std::string text = e.figure;
@@ -195,16 +197,16 @@
     if (e.at_least) text += ", at least " + number(*e.at_least);
     if (e.at_most) text += ", at most " + number(*e.at_most);
     expectations.push_back({{"text", text}, {"holds", holds}});
-    if (!holds) o.failures.push_back("expectation not met: " + text);
+    if (!holds) result.unmet_expectations.push_back("expectation not met: " + text);
   }
-  auto& j = o.figures;
+  auto& j = result.figures;
   j["scenario"] = options_.scenario.name, j["shows"] = options_.scenario.shows;
   j["carrier"] = options_.processes ? "processes" : "model";
   j["nodes"] = options_.scenario.fleet.nodes, j["servers"] = options_.scenario.servers.count;
-  j["seed"] = options_.seed, j["seconds"] = all;
+  j["seed"] = options_.seed, j["seconds"] = duration_s;
   for (const auto& name : Figures::names())
-    j["figures"][name] = figures_.value(name, 0, all).value_or(0);
-  j["rules"] = o.breaches, j["expectations"] = expectations, j["lab"] = of_the_lab;
+    j["figures"][name] = figures_.value(name, 0, duration_s).value_or(0);
+  j["rules"] = result.violations, j["expectations"] = expectations, j["lab"] = lab_json;
   j["by_second"] = json::array(), j["by_node"] = json::array(), j["by_zone"] = json::array();
   for (std::size_t i = 0; i + 1 < figures_.seconds_of().size(); ++i) {
     auto second = counts_json(figures_.seconds_of()[i]);
@@ -224,11 +226,11 @@
     if (!file.flush())
       throw std::runtime_error((*options_.out / "figures.json").string() + " can't be written");
   }
-  return o;
+  return result;
 }
 
-Played play(const Options& options) {
-  return options.processes ? play_processes(options) : play_model(options);
+RunResult run_scenario(const Options& options) {
+  return options.processes ? run_on_processes(options) : run_on_model(options);
 }
 
 std::vector<FaultEffect> fault_effects_of(const World& world) {
@@ -240,40 +242,40 @@
   return effects;
 }
 
-Played play_model(const Options& options) {
-  Agenda agenda(kModelBegins);
-  Recorder recorder(options, kModelBegins);
+RunResult run_on_model(const Options& options) {
+  Agenda agenda(kModelStart);
+  Recorder recorder(options, kModelStart);
   Model model(options.scenario, options.seed, agenda,
               [&](Time now, std::uint32_t node, const std::string& text) {
                 recorder.log(now, node, text);
               });
   World world(options.scenario, options.seed, agenda, model,
-              [&](Time now, const Seen& s) { recorder.saw(now, s); });
+              [&](Time now, const Seen& s) { recorder.record(now, s); });
   model.serve(world);
   world.begin(30s);
-  Time shown{};
+  Time progress_time{};
   bool began = false, stopped = false;
   while (agenda.next() && !stopped) {
     agenda.run_until(std::max(*agenda.next(), agenda.now() + kStep));
-    if (!began && world.clients_began()) began = true, recorder.began(world.began_at());
-    if (agenda.now() - shown >= kProgress) {
-      shown = agenda.now();
+    if (!began && world.clients_began()) began = true, recorder.set_clients_start(world.began_at());
+    if (agenda.now() - progress_time >= kProgressInterval) {
+      progress_time = agenda.now();
       options.progress(began ? seconds(agenda.now() - world.began_at()) : 0, recorder.figures());
-      stopped = options.stopped();
+      stopped = options.should_stop();
     }
     if (began && (world.over() || agenda.now() > world.ends_at())) break;
   }
   const Time end = agenda.now();
-  while (model.views_agreed() < 1 && agenda.now() < end + kViews && !stopped)
+  while (model.views_agreed() < 1 && agenda.now() < end + kMaxViewAgreementTime && !stopped)
     agenda.run_until(agenda.now() + kStep);
-  recorder.views(model.views_agreed());
-  auto outcome = recorder.finish(agenda.now(),
-                                 {{"views_after_s", seconds(agenda.now() - end)},
-                                  {"simulated_s", seconds(agenda.now() - kModelBegins)}},
-                                 stopped);
-  outcome.stopped = stopped;
-  outcome.fault_effects = fault_effects_of(world);
-  return outcome;
+  recorder.set_view_agreement(model.views_agreed());
+  auto result = recorder.finish(agenda.now(),
+                                {{"views_after_s", seconds(agenda.now() - end)},
+                                 {"simulated_s", seconds(agenda.now() - kModelStart)}},
+                                stopped);
+  result.stopped = stopped;
+  result.fault_effects = fault_effects_of(world);
+  return result;
 }
 
 }  // namespace petrelrail::lab
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -1,5 +1,6 @@
-// One play of a scenario: the world, its carrier, the rules and the figures, and what is written
-// down of it.
+// Runs one scenario on the model (simulated time) or on real node processes, checks the invariants,
+// collects the figures and writes events, figures and logs. Called by the command line, compare and
+// the soak test. Single-threaded.
 #pragma once
 
 #include <filesystem>
@@ -20,70 +21,70 @@
 struct Options {
   world::Scenario scenario;
   std::uint64_t seed = 1;
-  bool processes = false;                    // the carrier; else the model
-  std::optional<std::filesystem::path> out;  // a folder for events, figures and logs
-  std::filesystem::path program;             // of the nodes, for the process carrier
-  std::filesystem::path system_faults;       // the library that makes their system calls fail
-  bool trace = false;                        // every record of every request goes to the events
-  double most_lag_ms = 25;  // 99th percentile of the lab's own lag beyond which a play is void
-  std::function<bool()> stopped = [] {
-    return false;
-  };  // asked now and then: end, and write what there is
+  bool processes = false;                    // real node processes instead of the model
+  std::optional<std::filesystem::path> out;  // folder for events, figures and logs
+  std::filesystem::path program;             // node executable of a run on processes
+  std::filesystem::path system_faults;       // library that makes the nodes' system calls fail
+  bool trace = false;                        // writes every record of every request to the events
+  double max_lag_ms = 25;  // 99th percentile of the lab's own lag above which a run is void
+  // Polled during the run; where it returns true, the run ends early and writes what it has.
+  std::function<bool()> should_stop = [] { return false; };
   std::function<void(double seconds, const world::Figures&)> progress =
       [](double, const world::Figures&) {};
 };
 
 struct FaultEffect {
-  std::string fault;          // in words
-  std::uint64_t touched = 0;  // nodes, servers, calls, answers, requests or entries of lists
+  std::string fault;           // description of the fault
+  std::uint64_t affected = 0;  // nodes, servers, calls, answers, requests or list entries
 };
 
-struct Played {
-  nlohmann::json figures;             // as written to figures.json
-  std::vector<std::string> failures;  // expectations that don't hold, each with figure and bound
-  std::vector<std::string> breaches;  // of rules
+struct RunResult {
+  nlohmann::json figures;                       // as written to figures.json
+  std::vector<std::string> unmet_expectations;  // each with figure and bound
+  std::vector<std::string> violations;          // of the rules
   std::vector<std::string>
-      node_breaches;         // rules that nodes turned a step down for, as their logs tell
-  std::string crash;         // of which node, with its last log lines; empty: none
-  std::string void_because;  // the lab itself ran late; empty: it did not
-  bool stopped = false;      // by the caller, before its end
-  std::vector<FaultEffect> fault_effects;  // by fault of the scenario
-  int status() const;                      // of the tool: 0, 1 or 3
+      node_violations;      // rules for which nodes rejected a step, read from their logs
+  std::string crash;        // the node that crashed, with its last log lines; empty: none
+  std::string void_reason;  // set where the lab itself ran late; empty: the run is valid
+  bool stopped = false;     // ended early by should_stop
+  std::vector<FaultEffect> fault_effects;  // in the order of the scenario's faults
+  int status() const;                      // exit status of the tool: 0, 1 or 3
 };
 
-// What both carriers share: records come in, rules and figures are kept, and in the end the outcome
-// is drawn up.
+// Shared by the model and the processes: receives records, checks the rules, collects the figures
+// and builds the result.
 class Recorder {
  public:
   Recorder(const Options& options, Time begin);
-  void saw(Time now, const world::Seen& s);
-  void began(Time at);  // the clients
+  void record(Time now, const world::Seen& s);
+  // Restarts the figures; times are relative to `at`, when the clients begin.
+  void set_clients_start(Time at);
   void log(Time now, std::uint32_t node, const std::string& text);
   const world::Figures& figures() const { return figures_; }
-  void views(double agreed) { figures_.views(agreed); }
-  // `stopped`: before the end, by the caller or a crash, so that requests whose time is not over
-  // are not judged.
-  Played finish(Time now, const nlohmann::json& of_the_lab, bool stopped);
+  void set_view_agreement(double agreed) { figures_.views(agreed); }
+  // `stopped`: the run ended early, by the caller or a crash; requests whose deadline has not
+  // passed are then not judged. `lab_json` goes to the key "lab" of the figures.
+  RunResult finish(Time now, const nlohmann::json& lab_json, bool stopped);
 
  private:
   void write(Time now, const world::Seen& s);
-  void event(Time now, nlohmann::json e);
+  void write_event(Time now, nlohmann::json e);
 
   const Options& options_;
   Time begin_;
   world::Rules rules_;
   world::Figures figures_;
-  std::size_t breaches_told_ = 0;
-  Time passed_at_{};
+  std::size_t reported_violations_ = 0;
+  Time last_check_time_{};
   std::optional<std::ofstream> events_;
   std::vector<std::unique_ptr<std::ofstream>> logs_;
 };
 
 std::vector<FaultEffect> fault_effects_of(const world::World& world);
 
-// Throws std::runtime_error where the play can't begin.
-Played play(const Options& options);
-Played play_model(const Options& options);
-Played play_processes(const Options& options);
+// Throw std::runtime_error where the run can't start.
+RunResult run_scenario(const Options& options);
+RunResult run_on_model(const Options& options);
+RunResult run_on_processes(const Options& options);
 
 }  // namespace petrelrail::lab
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -32,7 +32,7 @@
   std::vector<std::string> sets;
   std::optional<std::uint32_t> nodes;
   std::uint64_t seed = 1;
-  double most_lag_ms = 25;
+  double max_lag_ms = 25;
   bool trace = false, quiet = false;
 };
 
@@ -73,8 +73,8 @@
   o.program = a.program.empty() ? beside_this_program("petrelrail")
                                 : std::filesystem::path(a.program);
   o.trace = a.trace;
-  o.most_lag_ms = a.most_lag_ms;
-  o.stopped = [] { return interrupted != 0; };
+  o.max_lag_ms = a.max_lag_ms;
+  o.should_stop = [] { return interrupted != 0; };
   if (!a.quiet && isatty(STDERR_FILENO) != 0)
     o.progress = [all = o.scenario.fleet.seconds](double at, const world::Figures& f) {
       const auto c = f.total();
@@ -90,7 +90,7 @@
   return o;
 }
 
-void print_summary(const Played& o) {
+void print_summary(const RunResult& o) {
   const auto& j = o.figures;
   const auto f = [&](const char* name) { return j["figures"][name].get<double>(); };
   std::printf("%s (%s, %u nodes, %u servers, seed %llu)\n",
@@ -111,16 +111,16 @@
   if (f("cpu_us_per_try") > 0)
     std::printf("  cpu %.0f us a try  memory %.1f MB at most\n", f("cpu_us_per_try"),
                 f("memory_mb"));
-  for (const auto& b : o.breaches) std::printf("%s\n", b.c_str());
-  for (const auto& e : o.failures) std::printf("%s\n", e.c_str());
-  if (!o.void_because.empty()) std::printf("void: %s\n", o.void_because.c_str());
+  for (const auto& b : o.violations) std::printf("%s\n", b.c_str());
+  for (const auto& e : o.unmet_expectations) std::printf("%s\n", e.c_str());
+  if (!o.void_reason.empty()) std::printf("void: %s\n", o.void_reason.c_str());
   if (o.stopped) std::printf("stopped before its end\n");
   if (!o.crash.empty()) std::printf("%s\n", o.crash.c_str());
 }
 
 int run(const RunArguments& a) {
   const auto options = options_of(a);
-  const auto outcome = play(options);
+  const auto outcome = run_scenario(options);
   if (isatty(STDERR_FILENO) != 0) std::fprintf(stderr, "\r%100s\r", "");
   print_summary(outcome);
   if (options.out) std::printf("written to %s\n", options.out->c_str());
@@ -141,15 +141,15 @@
     o.system_faults = beside_this_program("libpetrelrail_system_faults.so");
     if (!a.out.empty()) o.out = std::filesystem::path(a.out) / o.scenario.name;
     o.trace = o.out.has_value();
-    o.stopped = [] { return interrupted != 0; };
-    const auto played = play(o);
+    o.should_stop = [] { return interrupted != 0; };
+    const auto played = run_scenario(o);
     print_summary(played);
     std::printf("  effect %s, deadline %.0f ms, wall clock %+.0f s\n",
                 o.scenario.clients.effect.c_str(), o.scenario.clients.deadline_ms,
                 o.scenario.system.step_s);
     for (const auto& effect : played.fault_effects)
       std::printf("  fault %s: touched %llu\n", effect.fault.c_str(),
-                  static_cast<unsigned long long>(effect.touched));
+                  static_cast<unsigned long long>(effect.affected));
     const auto findings = soak_findings(played);
     for (const auto& f : findings)
       std::printf("  seed %llu: %s\n", static_cast<unsigned long long>(terms.seed), f.c_str());
@@ -217,11 +217,11 @@
     std::snprintf(spread, sizeof spread, "%.4g (%.4g to %.4g)", s.median, s.least, s.most);
     return std::string(spread);
   };
-  for (const auto& f : result.figures)
+  for (const auto& f : result.rows)
     std::printf("%-20s %-28s %-28s %s\n", f.figure.c_str(), text(f.a).c_str(), text(f.b).c_str(),
                 text(f.difference).c_str());
-  for (const auto& complaint : result.complaints) std::printf("%s\n", complaint.c_str());
-  return result.complaints.empty() && !result.stopped ? 0 : 1;
+  for (const auto& problem : result.problems) std::printf("%s\n", problem.c_str());
+  return result.problems.empty() && !result.stopped ? 0 : 1;
 }
 
 int list(const std::string& folder) {
@@ -271,7 +271,7 @@
   run_verb->add_flag("--trace", a.trace, "write every record of every request to events.jsonl");
   run_verb->add_flag("--quiet", a.quiet, "no progress line");
   run_verb
-      ->add_option("--most-lag-ms", a.most_lag_ms,
+      ->add_option("--most-lag-ms", a.max_lag_ms,
                    "99th percentile of the lab's own lag beyond which a play is void")
       ->capture_default_str();
   CompareArguments c;
@@ -297,7 +297,7 @@
       ->allow_extra_args(false);
   compare_verb->add_option("--figure", c.figures, "which figures; may be given again");
   compare_verb
-      ->add_option("--most-lag-ms", a.most_lag_ms, "of the lab itself, beyond which a play is void")
+      ->add_option("--most-lag-ms", a.max_lag_ms, "of the lab itself, beyond which a play is void")
       ->capture_default_str();
   ReportArguments r;
   auto* report_verb = app.add_subcommand("report",
--- a/lab/processes.cpp
+++ b/lab/processes.cpp
@@ -981,7 +981,7 @@
 
 }  // namespace
 
-Played play_processes(const Options& options) {
+RunResult run_on_processes(const Options& options) {
   constexpr Duration kLook = 20ms, kMeasure = 1s, kProgress = 500ms, kStart = 30s, kViews = 60s,
                      kAskViews = 500ms;
   if (options.out) std::filesystem::create_directories(*options.out);
@@ -996,10 +996,10 @@
   Recorder recorder(options, agenda.now());
   Processes carrier(options, io, agenda, folder.path);
   World world(options.scenario, options.seed, agenda, carrier,
-              [&](Time at, const Seen& s) { recorder.saw(at, s); });
+              [&](Time at, const Seen& s) { recorder.record(at, s); });
   carrier.serve(world);
   carrier.started([&](std::uint32_t node, Child::Usage u) {
-    recorder.saw(agenda.now(), Usage{node, u.cpu_s, u.memory_mb});
+    recorder.record(agenda.now(), Usage{node, u.cpu_s, u.memory_mb});
   });
   world.begin(kStart);
   std::vector<double> lags;
@@ -1014,13 +1014,13 @@
     if (const auto next = agenda.next(); next && *next <= at && began)
       lags.push_back(seconds(at - *next) * 1e3);
     agenda.run_until(at);
-    if (!began && world.clients_began()) began = true, recorder.began(world.began_at());
+    if (!began && world.clients_began()) began = true, recorder.set_clients_start(world.began_at());
     if (at - looked >= kLook) {
       looked = at;
       const bool measure = at - measured >= kMeasure;
       if (measure) measured = at;
       carrier.look(measure);
-      stopped = options.stopped();
+      stopped = options.should_stop();
     }
     if (at - shown >= kProgress) {
       shown = at;
@@ -1051,7 +1051,7 @@
     }
   }
   carrier.look(true);
-  recorder.views(options.scenario.fleet.members == "off" ? 1 : carrier.views_agreed());
+  recorder.set_view_agreement(options.scenario.fleet.members == "off" ? 1 : carrier.views_agreed());
   const auto percentile = [&](double part) {
     if (lags.empty()) return 0.0;
     const auto at = lags.begin() +
@@ -1064,15 +1064,15 @@
                                  {{"lag_p50_ms", p50}, {"lag_p99_ms", p99}, {"lag_most_ms", most}},
                                  stopped || !carrier.crash().empty());
   outcome.crash = carrier.crash();
-  outcome.node_breaches = carrier.breaches();
+  outcome.node_violations = carrier.breaches();
   outcome.stopped = stopped;
   outcome.fault_effects = fault_effects_of(world);
-  if (p99 > options.most_lag_ms) {
+  if (p99 > options.max_lag_ms) {
     char text[128];
     std::snprintf(text, sizeof text,
                   "the lab itself ran late: 99%% of its events within %.1f ms, %.1f ms allowed",
-                  p99, options.most_lag_ms);
-    outcome.void_because = text;
+                  p99, options.max_lag_ms);
+    outcome.void_reason = text;
   }
   return outcome;
 }
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -128,23 +128,23 @@
   return s;
 }
 
-std::vector<std::string> soak_void_reasons(const Played& played) {
+std::vector<std::string> soak_void_reasons(const RunResult& played) {
   std::vector<std::string> reasons;
   if (played.stopped) reasons.push_back("it was stopped before its end");
-  if (!played.void_because.empty()) reasons.push_back(played.void_because);
+  if (!played.void_reason.empty()) reasons.push_back(played.void_reason);
   const double served = played.figures.at("figures").at("served_share").get<double>();
   if (served < kMinServedShare)
     reasons.push_back("served " + std::to_string(served) + " of what was asked, " +
                       std::to_string(kMinServedShare) + " at least wanted");
   for (const auto& effect : played.fault_effects)
-    if (effect.touched == 0) reasons.push_back("a fault touched nothing: " + effect.fault);
+    if (effect.affected == 0) reasons.push_back("a fault touched nothing: " + effect.fault);
   return reasons;
 }
 
-std::vector<std::string> soak_findings(const Played& played) {
-  auto findings = played.breaches;
+std::vector<std::string> soak_findings(const RunResult& played) {
+  auto findings = played.violations;
   if (!played.crash.empty()) findings.push_back(played.crash);
-  findings.insert(findings.end(), played.node_breaches.begin(), played.node_breaches.end());
+  findings.insert(findings.end(), played.node_violations.begin(), played.node_violations.end());
   return findings;
 }
 
--- a/lab/soak.hpp
+++ b/lab/soak.hpp
@@ -28,10 +28,10 @@
 
 // Why a play says nothing, whatever it found: it was stopped, the lab ran late, too little was
 // served, or a fault touched nothing. Empty: it counts.
-std::vector<std::string> soak_void_reasons(const Played& played);
+std::vector<std::string> soak_void_reasons(const RunResult& played);
 
 // What is wrong after a play: broken rules, a crash, breaches that nodes counted themselves. Empty:
 // nothing.
-std::vector<std::string> soak_findings(const Played& played);
+std::vector<std::string> soak_findings(const RunResult& played);
 
 }  // namespace petrelrail::lab
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -382,8 +382,7 @@
     std::erase(polls_, exchange);
     return;
   }
-  if (backoff_ == Duration{} && &counter == &stats_.silent)
-    log::warning("discovery", "silent");
+  if (backoff_ == Duration{} && &counter == &stats_.silent) log::warning("discovery", "silent");
   watch_.reset();
   if (!poll_timer_) schedule_poll();
   backoff_ = std::min(std::max(2 * backoff_, limits::kMinBackoff), limits_.max_reconnect_delay);
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -120,10 +120,10 @@
   // time.
   if (options.scenario.fleet.nodes > 100)
     options = model(GetParam(), 1, {"fleet.nodes=60", "servers.count=40"});
-  const auto played = play(options);
+  const auto played = run_scenario(options);
   EXPECT_EQ(played.status(), 0);
-  for (const auto& text : played.breaches) ADD_FAILURE() << text;
-  for (const auto& text : played.failures) ADD_FAILURE() << text;
+  for (const auto& text : played.violations) ADD_FAILURE() << text;
+  for (const auto& text : played.unmet_expectations) ADD_FAILURE() << text;
 }
 INSTANTIATE_TEST_SUITE_P(Lab, Scenarios, ::testing::ValuesIn(all_scenarios()),
                          [](const auto& scenario) {
@@ -134,9 +134,9 @@
 
 TEST(Model, TheSameSeedGivesTheSameBytesAndAnotherDoesNot) {
   const std::vector<std::string> sets{"fleet.nodes=5", "servers.count=6"};
-  const auto once = play(model("counter-silent", 3, sets)).figures.dump();
-  EXPECT_EQ(play(model("counter-silent", 3, sets)).figures.dump(), once);
-  EXPECT_NE(play(model("counter-silent", 4, sets)).figures.dump(), once);
+  const auto once = run_scenario(model("counter-silent", 3, sets)).figures.dump();
+  EXPECT_EQ(run_scenario(model("counter-silent", 3, sets)).figures.dump(), once);
+  EXPECT_NE(run_scenario(model("counter-silent", 4, sets)).figures.dump(), once);
 }
 TEST(Model, AnAnswerThatACutSwallowsIsNotTheNodesLoss) {
   Options o;
@@ -145,9 +145,9 @@
       "2\nfor = 1\n"
       "who = \"nodes 0\"\nfrom = \"clients\"",
       "cut.toml");
-  const auto played = play(o);
+  const auto played = run_scenario(o);
   EXPECT_EQ(played.status(), 0);
-  for (const auto& text : played.breaches) ADD_FAILURE() << text;
+  for (const auto& text : played.violations) ADD_FAILURE() << text;
   EXPECT_GT(played.figures["figures"]["unreachable"].get<double>(), 0);
 }
 // Guards against a judge that counts the drain of a server's former life as told after the server
@@ -159,8 +159,8 @@
       "[[fault]]\nkind = \"servers_replaced\"\nat = 0.5\nfor = 0.1\nwho = \"servers 0\"\n"
       "[[fault]]\nkind = \"servers_gone\"\nat = 4\nfor = 0.5\nwho = \"servers 0\"",
       "back.toml");
-  const auto played = play(o);
-  EXPECT_EQ(played.breaches, std::vector<std::string>{});
+  const auto played = run_scenario(o);
+  EXPECT_EQ(played.violations, std::vector<std::string>{});
 }
 // What the scenario of that name holds is played on the model with all others, and below on real
 // processes.
@@ -173,9 +173,9 @@
   // One node alone with 36 connections for 60 servers: what idles elsewhere goes for each that it
   // opens, and where none idles the attempt is never sent.
   const auto served = [](const char* sockets) {
-    return play(model("quiet", 1,
-                      {"fleet.nodes=1", "servers.count=60", "clients.load=0.3", "fleet.seconds=8",
-                       sockets}))
+    return run_scenario(model("quiet", 1,
+                              {"fleet.nodes=1", "servers.count=60", "clients.load=0.3",
+                               "fleet.seconds=8", sockets}))
         .figures["figures"]["served"]
         .get<double>();
   };
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -37,10 +37,10 @@
   options.processes = true;
   options.program = PETRELRAIL_PROGRAM, options.system_faults = SYSTEM_FAULTS;
   // A play in which the lab itself ran late tells nothing.
-  auto played = play(options);
-  for (int again = 0; again < kPlaysAgain && !played.void_because.empty(); ++again)
-    played = play(options);
-  ASSERT_EQ(played.void_because, "");
+  auto played = run_scenario(options);
+  for (int again = 0; again < kPlaysAgain && !played.void_reason.empty(); ++again)
+    played = run_scenario(options);
+  ASSERT_EQ(played.void_reason, "");
   EXPECT_EQ(soak_findings(played), std::vector<std::string>{});
   EXPECT_GT(played.figures["figures"]["served"].get<double>(), 0);
 }
@@ -59,7 +59,7 @@
   auto& clients = options.scenario.clients;
   clients.deadline_ms = 20, clients.aim_ms = 10, clients.leave_share = 1;
   clients.plans = {world::PlanTerms{.name = "basic", .rate = 100}};
-  const auto played = play(options);
+  const auto played = run_scenario(options);
   EXPECT_EQ(played.crash, "");
   std::set<std::string> left, taken;
   for (const auto& event : events_of(folder.path)) {
@@ -90,7 +90,7 @@
     clients.load = 3, clients.leave_share = 1;
     clients.deadline_ms = 3000, clients.aim_ms = 2500;
     clients.plans = {world::PlanTerms{.name = "basic", .rate = 100}};
-    return soak_findings(play(options));
+    return soak_findings(run_scenario(options));
   };
   const auto sent_on = [](const std::string& finding) {
     return finding.find("was sent on after its client had left") != std::string::npos;
@@ -99,14 +99,14 @@
   EXPECT_EQ(play_with(false), std::vector<std::string>{});
 }
 
-Played play_clients_of(const std::string& effect) {
+RunResult play_clients_of(const std::string& effect) {
   Options options;
   options.processes = true;
   options.program = PETRELRAIL_PROGRAM;
   options.scenario.fleet.nodes = 2, options.scenario.fleet.seconds = 3;
   options.scenario.clients.effect = effect;
   options.scenario.clients.plans = {world::PlanTerms{.name = "basic"}};
-  return play(options);
+  return run_scenario(options);
 }
 
 // Guards against a client whose requests are all malformed: without an Idempotency-Key every node
@@ -120,8 +120,8 @@
   }
 }
 
-Played counting_play() {
-  Played played;
+RunResult counting_play() {
+  RunResult played;
   played.figures["figures"]["served_share"] = 0.5;
   played.fault_effects = {{"kill", 2}};
   return played;
@@ -140,7 +140,7 @@
   stopped.stopped = true;
   EXPECT_EQ(soak_void_reasons(stopped), std::vector<std::string>{"it was stopped before its end"});
   auto late = counting_play();
-  late.void_because = "the lab itself ran late";
+  late.void_reason = "the lab itself ran late";
   EXPECT_EQ(soak_void_reasons(late), std::vector<std::string>{"the lab itself ran late"});
 }
 
@@ -152,8 +152,8 @@
   options.program = PETRELRAIL_PROGRAM;
   options.scenario = soak_scenario({.seed = 1, .nodes = 4, .seconds = 8});
   options.scenario.faults.clear();
-  options.stopped = [&asked] { return ++asked > 150; };  // some seconds after the start
-  const auto played = play(options);
+  options.should_stop = [&asked] { return ++asked > 150; };  // some seconds after the start
+  const auto played = run_scenario(options);
   EXPECT_TRUE(played.stopped);
   EXPECT_EQ(soak_findings(played), std::vector<std::string>{});
 }
@@ -168,9 +168,9 @@
       {.seed = GetParam(), .nodes = 12, .seconds = 8, .extended = true});
   options.processes = true;
   options.program = PETRELRAIL_PROGRAM, options.system_faults = SYSTEM_FAULTS;
-  auto played = play(options);
-  for (int again = 0; again < kPlaysAgain && !played.void_because.empty(); ++again)
-    played = play(options);
+  auto played = run_scenario(options);
+  for (int again = 0; again < kPlaysAgain && !played.void_reason.empty(); ++again)
+    played = run_scenario(options);
   EXPECT_EQ(soak_void_reasons(played), std::vector<std::string>{});
   EXPECT_EQ(soak_findings(played), std::vector<std::string>{});
 }
