--- a/lab/process_runtime.cpp
+++ b/lab/process_runtime.cpp
@@ -907,7 +907,6 @@
            describe_wait_status(status) + "), its last log lines:\n" +
            last_lines(nodes_[node].log, kCrashLogLines);
 }
-
 std::vector<std::string> ProcessRuntime::violations() const {
   std::vector<std::string> found;
   for (const auto& n : nodes_) {
@@ -1016,6 +1015,7 @@
 namespace {
 
 // A temporary directory for the nodes' files, removed at the end of the run.
+
 struct TemporaryFolder {
   std::filesystem::path path;
   TemporaryFolder() {
@@ -1032,7 +1032,7 @@
 
 }  // namespace
 
-Played play_processes(const Options& options) {
+RunResult run_on_processes(const Options& options) {
   constexpr Duration kProcessPollInterval = 20ms, kMeasureInterval = 1s, kProgressInterval = 500ms,
                      kStartTimeout = 30s, kViewTimeout = 60s, kViewPollInterval = 500ms;
   if (options.out) std::filesystem::create_directories(*options.out);
@@ -1047,10 +1047,10 @@
   Recorder recorder(options, agenda.now());
   ProcessRuntime runtime(options, io, agenda, folder.path);
   Simulation world(options.scenario, options.seed, agenda, runtime,
-                   [&](Time at, const Observation& s) { recorder.saw(at, s); });
+                   [&](Time at, const Observation& s) { recorder.record(at, s); });
   runtime.start(world);
   runtime.set_usage_callback([&](std::uint32_t node, Child::Usage u) {
-    recorder.saw(agenda.now(), ResourceUsage{node, u.cpu_s, u.memory_mb});
+    recorder.record(agenda.now(), ResourceUsage{node, u.cpu_s, u.memory_mb});
   });
   world.begin(kStartTimeout);
   std::vector<double> lags_ms;
@@ -1065,13 +1065,14 @@
     if (const auto next = agenda.next_time(); next && *next <= at && has_begun)
       lags_ms.push_back(seconds(at - *next) * 1e3);
     agenda.run_until(at);
-    if (!has_begun && world.clients_began()) has_begun = true, recorder.began(world.began_at());
+    if (!has_begun && world.clients_began())
+      has_begun = true, recorder.set_clients_start(world.began_at());
     if (at - last_poll_time >= kProcessPollInterval) {
       last_poll_time = at;
       const bool should_measure = at - last_measure_time >= kMeasureInterval;
       if (should_measure) last_measure_time = at;
       runtime.poll_processes(should_measure);
-      is_stopped = options.stopped();
+      is_stopped = options.should_stop();
     }
     if (at - last_progress_time >= kProgressInterval) {
       last_progress_time = at;
@@ -1104,7 +1105,8 @@
     }
   }
   runtime.poll_processes(true);
-  recorder.views(options.scenario.fleet.members == "off" ? 1 : runtime.agreeing_view_share());
+  recorder.set_view_agreement(
+      options.scenario.fleet.members == "off" ? 1 : runtime.agreeing_view_share());
   const auto percentile = [&](double fraction) {
     if (lags_ms.empty()) return 0.0;
     const auto at = lags_ms.begin() +
@@ -1117,15 +1119,15 @@
                                  {{"lag_p50_ms", p50}, {"lag_p99_ms", p99}, {"lag_most_ms", max}},
                                  is_stopped || !runtime.crash().empty());
   outcome.crash = runtime.crash();
-  outcome.node_breaches = runtime.violations();
+  outcome.node_violations = runtime.violations();
   outcome.stopped = is_stopped;
   outcome.fault_effects = fault_effects_of(world);
-  if (p99 > options.most_lag_ms) {
+  if (p99 > options.max_lag_ms) {
     char text[128];
     std::snprintf(text, sizeof text,
                   "the lab itself ran late: 99%% of its events within %.1f ms, %.1f ms allowed",
-                  p99, options.most_lag_ms);
-    outcome.void_because = text;
+                  p99, options.max_lag_ms);
+    outcome.void_reason = text;
   }
   return outcome;
 }
--- a/lab/soak.hpp
+++ b/lab/soak.hpp
@@ -30,10 +30,10 @@
 
 // Returns the reasons why a run is void whatever its findings: it was stopped, the lab ran late,
 // too few requests were served, or a fault affected nothing. Empty if the run is valid.
-std::vector<std::string> soak_void_reasons(const Played& played);
+std::vector<std::string> soak_void_reasons(const RunResult& played);
 
 // Returns what a run found: violated invariants, a crash, and violations that nodes logged
 // themselves.
-std::vector<std::string> soak_findings(const Played& played);
+std::vector<std::string> soak_findings(const RunResult& played);
 
 }  // namespace petrelrail::lab
