--- a/lab/duty_study.cpp
+++ b/lab/duty_study.cpp
@@ -14,16 +14,16 @@
 
 using namespace world;
 
-double percentile(std::vector<double> values, double part) {
+double percentile(std::vector<double> values, double fraction) {
   if (values.empty()) return 0;
   std::ranges::sort(values);
-  return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1) + 0.5)];
+  return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1) + 0.5)];
 }
 
-// One play for each seed, on all cores; the same whatever the cores.
-std::vector<DutyCaseFigures> play_seeds(const DutyCase& c, const DutyCaseTerms& terms,
-                                        std::uint64_t first, std::uint32_t seeds) {
-  std::vector<DutyCaseFigures> found(seeds);
+// Runs the case once for each seed, on all cores. The results do not depend on the number of cores.
+std::vector<DutyCaseFigures> run_seeds(const DutyCase& c, const DutyCaseTerms& terms,
+                                       std::uint64_t first, std::uint32_t seeds) {
+  std::vector<DutyCaseFigures> results(seeds);
   std::atomic<std::uint32_t> next{0};
   std::vector<std::jthread> workers;
   for (unsigned w = 0; w < std::max(1U, std::thread::hardware_concurrency()); ++w)
@@ -31,34 +31,34 @@
       for (std::uint32_t i = next++; i < seeds; i = next++) {
         auto t = terms;
         t.seed = first + i;
-        found[i] = c.play(t);
+        results[i] = c.play(t);
       }
     });
   workers.clear();
-  return found;
+  return results;
 }
 
-struct Row {
-  std::vector<DutyCaseFigures> plays;
+struct CaseResults {
+  std::vector<DutyCaseFigures> runs;
   std::vector<double> all(std::vector<double> DutyCaseFigures::*figure) const {
     std::vector<double> values;
-    for (const auto& p : plays) values.insert(values.end(), (p.*figure).begin(), (p.*figure).end());
+    for (const auto& p : runs) values.insert(values.end(), (p.*figure).begin(), (p.*figure).end());
     return values;
   }
   std::vector<double> of(const std::string& name) const {
     std::vector<double> values;
-    for (const auto& p : plays)
+    for (const auto& p : runs)
       if (const auto it = p.values.find(name); it != p.values.end()) values.push_back(it->second);
     return values;
   }
   std::uint64_t breaches() const {
     std::uint64_t sum = 0;
-    for (const auto& p : plays) sum += p.breaches;
+    for (const auto& p : runs) sum += p.breaches;
     return sum;
   }
 };
 
-DutyCaseTerms terms_of(const DutyStudy& s) {
+DutyCaseTerms make_terms(const DutyStudy& s) {
   DutyCaseTerms t;
   if (s.nodes) t.nodes = *s.nodes;
   if (s.times) t.times = *s.times;
@@ -69,7 +69,7 @@
 }
 
 int print_cases(const DutyStudy& s) {
-  const auto terms = terms_of(s);
+  const auto terms = make_terms(s);
   std::printf("%u nodes, %u seeds from %llu\n\n", terms.nodes, s.seeds,
               static_cast<unsigned long long>(s.first_seed));
   std::printf(
@@ -77,41 +77,46 @@
       "a second | "
       "most words in a second | effects refused | breaches | goals |\n");
   std::printf("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-  bool holds = true;
+  bool all_goals_met = true;
   for (const auto& c : duty_cases()) {
     if (!s.cases.empty() && std::ranges::find(s.cases, c.name) == s.cases.end()) continue;
-    const Row row{play_seeds(c, terms, s.first_seed, s.seeds)};
-    const auto again = row.all(&DutyCaseFigures::again_s),
-               claims = row.all(&DutyCaseFigures::claims);
-    std::string missed;
-    const auto goal = [&](double is, double at_most, const char* what) {
-      if (at_most > 0 && is > at_most) missed += (missed.empty() ? "" : ", ") + std::string(what);
+    const CaseResults results_of_case{run_seeds(c, terms, s.first_seed, s.seeds)};
+    const auto takeover_s = results_of_case.all(&DutyCaseFigures::again_s),
+               claims = results_of_case.all(&DutyCaseFigures::claims);
+    std::string missed_goals;
+    const auto check_goal = [&](double actual, double at_most, const char* what) {
+      if (at_most > 0 && actual > at_most)
+        missed_goals += (missed_goals.empty() ? "" : ", ") + std::string(what);
     };
-    goal(percentile(again, 0.99), c.again_p99, "held again late");
-    goal(percentile(again, 0.5), c.again_median, "held again late in the median");
-    goal(percentile(claims, 1), c.most_claims, "many claims");
-    if (row.breaches() > 0) missed += (missed.empty() ? "" : ", ") + std::string("breaches");
+    check_goal(percentile(takeover_s, 0.99), c.again_p99, "held again late");
+    check_goal(percentile(takeover_s, 0.5), c.again_median, "held again late in the median");
+    check_goal(percentile(claims, 1), c.most_claims, "many claims");
+    if (results_of_case.breaches() > 0)
+      missed_goals += (missed_goals.empty() ? "" : ", ") + std::string("breaches");
     double refused = 0;
-    for (const double r : row.of("refused")) refused += r;
-    const auto cell = [](const std::vector<double>& v, double part) {
+    for (const double r : results_of_case.of("refused")) refused += r;
+    const auto cell = [](const std::vector<double>& v, double fraction) {
       char text[32];
-      std::snprintf(text, sizeof text, "%.3f s", percentile(v, part));
+      std::snprintf(text, sizeof text, "%.3f s", percentile(v, fraction));
       return v.empty() ? std::string() : std::string(text);
     };
     std::printf(
         "| %s | %s | %s | %s | %s | %s | %.2f | %.1f | %.0f | %.0f | %llu | %s |\n", c.name.c_str(),
-        c.what.c_str(), cell(again, 0.5).c_str(), cell(again, 0.99).c_str(), cell(again, 1).c_str(),
+        c.what.c_str(), cell(takeover_s, 0.5).c_str(), cell(takeover_s, 0.99).c_str(),
+        cell(takeover_s, 1).c_str(),
         claims.empty() ? "" : std::to_string(static_cast<int>(percentile(claims, 1))).c_str(),
-        percentile(row.of("calls_per_s"), 0.5), percentile(row.of("words_per_s"), 0.5),
-        percentile(row.of("most_in"), 1), refused, static_cast<unsigned long long>(row.breaches()),
-        missed.empty() ? "hold" : missed.c_str());
-    for (const auto& p : row.plays)
+        percentile(results_of_case.of("calls_per_s"), 0.5),
+        percentile(results_of_case.of("words_per_s"), 0.5),
+        percentile(results_of_case.of("most_in"), 1), refused,
+        static_cast<unsigned long long>(results_of_case.breaches()),
+        missed_goals.empty() ? "hold" : missed_goals.c_str());
+    for (const auto& p : results_of_case.runs)
       for (std::size_t i = 0; i < std::min<std::size_t>(p.told.size(), 2); ++i)
         std::printf("  %s\n", p.told[i].c_str());
     std::fflush(stdout);
-    holds = holds && missed.empty();
+    all_goals_met = all_goals_met && missed_goals.empty();
   }
-  return holds ? 0 : 1;
+  return all_goals_met ? 0 : 1;
 }
 
 int print_growth(const DutyStudy& s) {
@@ -121,67 +126,69 @@
       "|\n");
   std::printf("| --- | --- | --- | --- | --- |\n");
   for (const auto n : s.growth) {
-    auto terms = terms_of(s);
+    auto terms = make_terms(s);
     terms.nodes = n;
-    const Row calm{play_seeds(duty_case("calm"), terms, s.first_seed, s.seeds)};
-    const Row kill{play_seeds(duty_case("kill"), terms, s.first_seed, s.seeds)};
+    const CaseResults calm_results{run_seeds(duty_case("calm"), terms, s.first_seed, s.seeds)};
+    const CaseResults kill_results{run_seeds(duty_case("kill"), terms, s.first_seed, s.seeds)};
     std::printf("| %u | %.2f (worst %.2f) | %.1f | %.2f s | %.0f |\n", n,
-                percentile(calm.of("calls_per_s"), 0.5), percentile(calm.of("calls_per_s"), 1),
-                percentile(calm.of("words_per_s"), 0.5),
-                percentile(kill.all(&DutyCaseFigures::again_s), 0.99),
-                percentile(kill.all(&DutyCaseFigures::claims), 1));
+                percentile(calm_results.of("calls_per_s"), 0.5),
+                percentile(calm_results.of("calls_per_s"), 1),
+                percentile(calm_results.of("words_per_s"), 0.5),
+                percentile(kill_results.all(&DutyCaseFigures::again_s), 0.99),
+                percentile(kill_results.all(&DutyCaseFigures::claims), 1));
     std::fflush(stdout);
   }
   return 0;
 }
 
-// The worlds at once, told in their order.
-int print_explored(const DutyStudy& s) {
-  auto worlds = duty_worlds(true);
-  struct Found {
+// Explores the models in parallel and prints the results in their order.
+int print_exploration(const DutyStudy& s) {
+  auto models = duty_worlds(true);
+  struct ExplorationResult {
     DutyExplored explored;
-    double took = 0;
+    double duration_s = 0;
   };
-  std::vector<Found> found(worlds.size());
+  std::vector<ExplorationResult> results(models.size());
   std::atomic<std::size_t> next{0};
   std::vector<std::jthread> workers;
   for (unsigned w = 0; w < std::max(1U, std::thread::hardware_concurrency() / 2); ++w)
     workers.emplace_back([&] {
-      for (auto i = next++; i < worlds.size(); i = next++) {
-        if (s.depth > 0) worlds[i].bounds.depth = s.depth;
-        if (s.states > 0) worlds[i].bounds.states = s.states;
+      for (auto i = next++; i < models.size(); i = next++) {
+        if (s.depth > 0) models[i].bounds.depth = s.depth;
+        if (s.states > 0) models[i].bounds.states = s.states;
         const auto from = std::chrono::steady_clock::now();
-        found[i].explored = explore_duty(worlds[i].bounds);
-        found[i].took = std::chrono::duration<double>(std::chrono::steady_clock::now() - from)
-                            .count();
+        results[i].explored = explore_duty(models[i].bounds);
+        results[i].duration_s = std::chrono::duration<double>(std::chrono::steady_clock::now() -
+                                                              from)
+                                    .count();
       }
     });
   workers.clear();
   std::printf("| world | states | steps | depth | whole | time | outcome |\n");
   std::printf("| --- | --- | --- | --- | --- | --- | --- |\n");
-  bool holds = true;
-  for (std::size_t i = 0; i < worlds.size(); ++i) {
-    const auto& [e, took] = found[i];
-    std::printf("| %s | %llu | %llu | %u | %s | %.1f s | %s |\n", worlds[i].name.c_str(),
+  bool all_goals_met = true;
+  for (std::size_t i = 0; i < models.size(); ++i) {
+    const auto& [e, duration_s] = results[i];
+    std::printf("| %s | %llu | %llu | %u | %s | %.1f s | %s |\n", models[i].name.c_str(),
                 static_cast<unsigned long long>(e.states), static_cast<unsigned long long>(e.steps),
-                e.depth, e.complete ? "yes" : "no", took,
+                e.depth, e.complete ? "yes" : "no", duration_s,
                 e.breach.empty() ? "no breach" : e.breach.c_str());
-    holds = holds && e.breach.empty() != worlds[i].breaks;
+    all_goals_met = all_goals_met && e.breach.empty() != models[i].breaks;
   }
-  for (std::size_t i = 0; i < worlds.size(); ++i) {
-    if (found[i].explored.trace.empty()) continue;
-    std::printf("\n%s\n", worlds[i].name.c_str());
-    for (std::size_t k = 0; k < found[i].explored.trace.size(); ++k)
-      std::printf("%3zu. %s\n", k + 1, found[i].explored.trace[k].c_str());
+  for (std::size_t i = 0; i < models.size(); ++i) {
+    if (results[i].explored.trace.empty()) continue;
+    std::printf("\n%s\n", models[i].name.c_str());
+    for (std::size_t k = 0; k < results[i].explored.trace.size(); ++k)
+      std::printf("%3zu. %s\n", k + 1, results[i].explored.trace[k].c_str());
   }
-  return holds ? 0 : 1;
+  return all_goals_met ? 0 : 1;
 }
 
 }  // namespace
 
 int duty_study(const DutyStudy& s) {
   for (const auto& name : s.cases) duty_case(name);
-  if (s.explore) return print_explored(s);
+  if (s.explore) return print_exploration(s);
   return s.growth.empty() ? print_cases(s) : print_growth(s);
 }
 
--- a/lab/duty_study.hpp
+++ b/lab/duty_study.hpp
@@ -1,5 +1,5 @@
-// The lab's `duties`: plays the cases of docs/duties.md over many seeds, or goes through every
-// interleaving of a bounded world, and prints what came of it.
+// Command `duties` of the lab: runs the leader lease cases of docs/duties.md with many seeds, or
+// explores every interleaving of bounded models, and prints the results.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,21 @@
 namespace petrelrail::lab {
 
 struct DutyStudy {
-  std::vector<std::string> cases;  // none: all
+  std::vector<std::string> cases;  // empty: all
   std::uint32_t seeds = 20;
   std::uint64_t first_seed = 1;
   std::optional<std::uint32_t> nodes, times;
   std::optional<double> loss, seconds;
-  bool members = false;  // views by src/fleet/members instead of some that learn after 8 s
-  std::vector<std::uint32_t>
-      growth;                // instead of cases: calm and kill with each of these numbers of nodes
-  bool explore = false;      // instead of cases: the explorer
-  std::uint32_t depth = 0;   // of the explorer: steps at most; 0: as its worlds have it
-  std::uint64_t states = 0;  // likewise
+  bool members = false;  // views from src/fleet/members instead of ones that learn after 8 s
+  // If not empty: runs calm and kill with each of these numbers of nodes instead of the cases.
+  std::vector<std::uint32_t> growth;
+  bool explore = false;      // runs the explorer instead of the cases
+  std::uint32_t depth = 0;   // explorer: maximum number of steps; 0: the default of each model
+  std::uint64_t states = 0;  // explorer: maximum number of states; 0: the default of each model
 };
 
-// Prints a table. 0 if every goal holds, else 1. Throws std::invalid_argument for a case that there
-// is none of.
+// Prints a table. Returns 0 if every goal is met, else 1. Throws std::invalid_argument for an
+// unknown case.
 int duty_study(const DutyStudy& study);
 
 }  // namespace petrelrail::lab
--- a/lab/members_study.cpp
+++ b/lab/members_study.cpp
@@ -19,56 +19,57 @@
 struct Spread {
   double least = 0, median = 0, most = 0;
 };
-Spread spread(std::vector<double> values) {
+Spread compute_spread(std::vector<double> values) {
   std::ranges::sort(values);
   if (values.empty()) return {};
   return {values.front(), values[values.size() / 2], values.back()};
 }
-double percentile(std::vector<double> values, double part) {
+double percentile(std::vector<double> values, double fraction) {
   if (values.empty()) return 0;
   std::ranges::sort(values);
-  return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
+  return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
 }
 
-// One play for each seed, on all cores; the same whatever the cores.
-std::vector<CaseFigures> play_seeds(const Case& c, CaseTerms terms, std::uint64_t first,
-                                    std::uint32_t seeds) {
-  std::vector<CaseFigures> found(seeds);
+// Runs the case once for each seed, on all cores. The results do not depend on the number of cores.
+std::vector<CaseFigures> run_seeds(const Case& c, CaseTerms terms, std::uint64_t first,
+                                   std::uint32_t seeds) {
+  std::vector<CaseFigures> results(seeds);
   std::atomic<std::uint32_t> next{0};
   std::vector<std::jthread> workers;
   for (unsigned w = 0; w < std::max(1U, std::thread::hardware_concurrency()); ++w)
     workers.emplace_back([&, terms]() mutable {
       for (std::uint32_t i = next++; i < seeds; i = next++) {
         terms.seed = first + i;
-        found[i] = c.play(terms);
+        results[i] = c.play(terms);
       }
     });
   workers.clear();
-  return found;
+  return results;
 }
 
-struct Row {
-  std::vector<CaseFigures> plays;
+struct CaseResults {
+  std::vector<CaseFigures> runs;
   Spread of(const std::string& figure) const {
     std::vector<double> values;
-    for (const auto& p : plays)
+    for (const auto& p : runs)
       if (const auto it = p.values.find(figure); it != p.values.end()) values.push_back(it->second);
-    return spread(values);
+    return compute_spread(values);
   }
-  double know(double part) const {
+  // Percentile over all nodes and runs of the time until a node knows of the change, in seconds.
+  double detection_percentile(double fraction) const {
     std::vector<double> all;
-    for (const auto& p : plays) all.insert(all.end(), p.know.begin(), p.know.end());
-    return percentile(all, part);
+    for (const auto& p : runs) all.insert(all.end(), p.know.begin(), p.know.end());
+    return percentile(all, fraction);
   }
 };
 
-std::string text(double x) {
+std::string format_number(double x) {
   char t[32];
   std::snprintf(t, sizeof t, "%.4g", x);
   return t;
 }
 
-CaseTerms terms_of(const MembersStudy& s, CaseTerms t, bool own_loss = false) {
+CaseTerms make_terms(const MembersStudy& s, CaseTerms t, bool own_loss = false) {
   if (s.nodes) t.nodes = *s.nodes;
   if (s.loss && !own_loss) t.loss = *s.loss;
   if (s.seconds) t.seconds = *s.seconds;
@@ -77,7 +78,7 @@
 }
 
 int print_cases(const MembersStudy& s) {
-  bool holds = true;
+  bool all_goals_met = true;
   std::printf(
       "%u seeds from %llu; median (least to most); know: 99th percentile over nodes and seeds\n\n",
       s.seeds, static_cast<unsigned long long>(s.first_seed));
@@ -88,34 +89,39 @@
   std::printf("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (const auto& c : member_cases()) {
     if (!s.cases.empty() && std::ranges::find(s.cases, c.name) == s.cases.end()) continue;
-    const Row row{play_seeds(c, terms_of(s, c.terms, c.own_loss), s.first_seed, s.seeds)};
+    const CaseResults results_of_case{
+        run_seeds(c, make_terms(s, c.terms, c.own_loss), s.first_seed, s.seeds)};
     const auto cell = [&](const char* figure) {
-      const auto v = row.of(figure);
-      return v.least == v.most
-                 ? text(v.most)
-                 : text(v.median) + " (" + text(v.least) + " to " + text(v.most) + ")";
+      const auto v = results_of_case.of(figure);
+      return v.least == v.most ? format_number(v.most)
+                               : format_number(v.median) + " (" + format_number(v.least) + " to " +
+                                     format_number(v.most) + ")";
     };
-    std::string missed;
+    std::string missed_goals;
     for (const auto& g : c.goals) {
-      const double worst = g.figure == "know_p99" ? row.know(0.99) : row.of(g.figure).most;
+      const double worst = g.figure == "know_p99" ? results_of_case.detection_percentile(0.99)
+                                                  : results_of_case.of(g.figure).most;
       if (worst > g.at_most)
-        missed += (missed.empty() ? "" : ", ") + g.figure + " above " + text(g.at_most);
+        missed_goals += (missed_goals.empty() ? "" : ", ") + g.figure + " above " +
+                        format_number(g.at_most);
     }
-    const bool knows = !row.plays.front().know.empty(),
-               agrees = row.plays.front().values.contains("agree_s");
-    std::printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", c.name.c_str(), c.what.c_str(),
-                knows ? (text(row.know(0.99)) + " s").c_str() : "",
-                agrees ? (cell("agree_s") + " s").c_str() : "", cell("wrong").c_str(),
-                cell("wrong_healthy").c_str(), cell("most_in").c_str(),
-                cell("bytes_out_per_s").c_str(), missed.empty() ? "hold" : missed.c_str());
+    const bool has_detection = !results_of_case.runs.front().know.empty(),
+               has_agreement = results_of_case.runs.front().values.contains("agree_s");
+    std::printf(
+        "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", c.name.c_str(), c.what.c_str(),
+        has_detection ? (format_number(results_of_case.detection_percentile(0.99)) + " s").c_str()
+                      : "",
+        has_agreement ? (cell("agree_s") + " s").c_str() : "", cell("wrong").c_str(),
+        cell("wrong_healthy").c_str(), cell("most_in").c_str(), cell("bytes_out_per_s").c_str(),
+        missed_goals.empty() ? "hold" : missed_goals.c_str());
     std::fflush(stdout);
-    holds = holds && missed.empty();
+    all_goals_met = all_goals_met && missed_goals.empty();
   }
-  return holds ? 0 : 1;
+  return all_goals_met ? 0 : 1;
 }
 
-// gnuplot draws it; the data stand in the file that it reads.
-void draw(const std::string& path, const std::string& data) {
+// Draws the growth with gnuplot, which reads the data from a temporary file beside `path`.
+void draw_growth(const std::string& path, const std::string& data) {
   const auto input = path + ".data";
   std::ofstream(input) << data;
   const auto
@@ -143,19 +149,22 @@
       "in a second |\n");
   std::printf("| --- | --- | --- | --- | --- | --- |\n");
   for (const auto n : s.growth) {
-    auto terms = terms_of(s, {});
+    auto terms = make_terms(s, {});
     terms.nodes = n, terms.seconds = s.seconds.value_or(60);
-    const Row calm{play_seeds(member_case("quiet"), terms, s.first_seed, s.seeds)};
-    const Row kill{play_seeds(member_case("kill-5"), terms, s.first_seed, s.seeds)};
-    const double most = std::max(calm.of("most_in").most, kill.of("most_in").most);
+    const CaseResults quiet_results{run_seeds(member_case("quiet"), terms, s.first_seed, s.seeds)};
+    const CaseResults kill_results{run_seeds(member_case("kill-5"), terms, s.first_seed, s.seeds)};
+    const double most = std::max(quiet_results.of("most_in").most, kill_results.of("most_in").most);
     std::printf("| %u | %.2f | %.1f | %.2f s | %.2f s | %.0f |\n", n,
-                calm.of("datagrams_out_per_s").median, calm.of("bytes_out_per_s").median,
-                kill.know(0.5), kill.know(0.99), most);
+                quiet_results.of("datagrams_out_per_s").median,
+                quiet_results.of("bytes_out_per_s").median, kill_results.detection_percentile(0.5),
+                kill_results.detection_percentile(0.99), most);
     std::fflush(stdout);
-    data += std::to_string(n) + " " + text(calm.of("datagrams_out_per_s").median) + " " +
-            text(kill.know(0.5)) + " " + text(kill.know(0.99)) + "\n";
+    data += std::to_string(n) + " " +
+            format_number(quiet_results.of("datagrams_out_per_s").median) + " " +
+            format_number(kill_results.detection_percentile(0.5)) + " " +
+            format_number(kill_results.detection_percentile(0.99)) + "\n";
   }
-  if (!s.plot.empty()) draw(s.plot, data);
+  if (!s.plot.empty()) draw_growth(s.plot, data);
   return 0;
 }
 
--- a/lab/records_study.cpp
+++ b/lab/records_study.cpp
@@ -12,13 +12,14 @@
 
 using namespace world;
 
-double percentile(const std::vector<double>& sorted, double part) {
-  return sorted[static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1))];
+double percentile(const std::vector<double>& sorted, double fraction) {
+  return sorted[static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1))];
 }
 
-// One play for each seed; the same whatever the cores.
-RecordFigures play_seeds(const RecordCase& c, const RecordsStudy& s) {
-  std::vector<RecordFigures> plays(s.seeds);
+// Runs the case once for each seed and returns the sorted values of each figure. The result does
+// not depend on the number of cores.
+RecordFigures run_seeds(const RecordCase& c, const RecordsStudy& s) {
+  std::vector<RecordFigures> runs(s.seeds);
   std::atomic<std::uint32_t> next{0};
   std::vector<std::jthread> workers;
   const unsigned cores = s.cores > 0 ? s.cores : std::max(1U, std::thread::hardware_concurrency());
@@ -26,22 +27,23 @@
     workers.emplace_back([&, terms = s.terms]() mutable {
       for (std::uint32_t i = next++; i < s.seeds; i = next++) {
         terms.seed = s.first_seed + i;
-        plays[i] = c.play(terms);
+        runs[i] = c.play(terms);
       }
     });
   workers.clear();
   RecordFigures all;
-  for (const auto& p : plays)
+  for (const auto& p : runs)
     for (const auto& [name, values] : p)
       all[name].insert(all[name].end(), values.begin(), values.end());
   for (auto& [name, values] : all) std::ranges::sort(values);
   return all;
 }
 
-bool holds(const std::string& play, const std::string& figure, double most, double reckoned) {
-  if (figure == "lost") return play == "seven-in-ten" || most == 0;
-  if (figure == "missing") return most == 0;
-  return figure != "most_in" || most <= reckoned;
+bool meets_goal(const std::string& case_name, const std::string& figure, double worst_value,
+                double expected_per_s) {
+  if (figure == "lost") return case_name == "seven-in-ten" || worst_value == 0;
+  if (figure == "missing") return worst_value == 0;
+  return figure != "most_in" || worst_value <= expected_per_s;
 }
 
 }  // namespace
@@ -70,14 +72,14 @@
   bool all = true;
   for (const auto& c : record_cases()) {
     if (!s.cases.empty() && std::ranges::find(s.cases, c.name) == s.cases.end()) continue;
-    for (const auto& [name, values] : play_seeds(c, s)) {
+    for (const auto& [name, values] : run_seeds(c, s)) {
       const double mean = std::accumulate(values.begin(), values.end(), 0.0) /
                           static_cast<double>(values.size());
-      const bool kept = holds(c.name, name, values.back(), terms.expected_intake_per_s());
-      all = all && kept;
+      const bool is_met = meets_goal(c.name, name, values.back(), terms.expected_intake_per_s());
+      all = all && is_met;
       std::printf("| %s | %s | %zu | %.3f | %.2f | %.2f | %.2f%s |\n", c.name.c_str(), name.c_str(),
                   values.size(), mean, percentile(values, 0.5), percentile(values, 0.99),
-                  values.back(), kept ? "" : " (not kept)");
+                  values.back(), is_met ? "" : " (not kept)");
     }
     std::fflush(stdout);
   }
--- a/lab/records_study.hpp
+++ b/lab/records_study.hpp
@@ -1,4 +1,5 @@
-// The lab's `records`: plays the cases of docs/records.md over many seeds and prints their table.
+// Command `records` of the lab: runs the cases of docs/records.md, which simulate record
+// replication alone, with many seeds and prints their table.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +11,17 @@
 namespace petrelrail::lab {
 
 struct RecordsStudy {
-  std::vector<std::string> cases;  // none: all
+  std::vector<std::string> cases;  // empty: all
   std::uint32_t seeds = 20;
   std::uint64_t first_seed = 1;
   unsigned cores = 0;              // 0: all
-  world::RecordCaseTerms terms{};  // their seed is not used
+  world::RecordCaseTerms terms{};  // the seed in it is not used
 };
 
-// Prints a table. 0 if nothing that was called safe is lost to two deaths or a zone's, nothing is
-// missing where a node says that it has caught up, and no second brings more than is reckoned;
-// else 1. Throws std::invalid_argument for terms that make no sense and a case that there is none
-// of.
+// Prints a table. Returns 0 if no record reported as replicated to the required copies is lost when
+// two nodes or one zone fail, no record is missing at a node that reports to have caught up, and no
+// second's intake exceeds the expected one; else 1. Throws std::invalid_argument for an invalid
+// configuration or an unknown case.
 int records_study(const RecordsStudy& study);
 
 }  // namespace petrelrail::lab
--- a/lab/shadow_study.cpp
+++ b/lab/shadow_study.cpp
@@ -16,30 +16,30 @@
 using namespace world;
 using fleet::MapFinding;
 
-// One play for each seed, on all cores; the same whatever the cores.
-template <class Play>
-auto play_seeds(std::uint64_t first, std::uint32_t seeds, Play play) {
-  std::vector<decltype(play(first))> found(seeds);
+// Calls `run` once for each seed, on all cores. The results do not depend on the number of cores.
+template <class Run>
+auto run_seeds(std::uint64_t first, std::uint32_t seeds, Run run) {
+  std::vector<decltype(run(first))> results(seeds);
   std::atomic<std::uint32_t> next{0};
   std::vector<std::jthread> workers;
   for (unsigned w = 0; w < std::max(1U, std::thread::hardware_concurrency()); ++w)
     workers.emplace_back([&] {
-      for (std::uint32_t i = next++; i < seeds; i = next++) found[i] = play(first + i);
+      for (std::uint32_t i = next++; i < seeds; i = next++) results[i] = run(first + i);
     });
   workers.clear();
-  return found;
+  return results;
 }
-double percentile(std::vector<double> values, double part) {
+double percentile(std::vector<double> values, double fraction) {
   if (values.empty()) return 0;
   std::ranges::sort(values);
-  return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
+  return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
 }
 
 struct ErrorCase {
   const char* name;
-  const char* what;
+  const char* description;
   TrialTerms terms;
-  MapFinding wrong;  // what must not be found
+  MapFinding wrong_finding;  // finding that counts as an error in this case
 };
 std::vector<ErrorCase> error_cases() {
   const auto terms = [](auto change) {
@@ -47,15 +47,15 @@
     change(t);
     return t;
   };
-  const auto in_one = [](TrialTerms& t) {
+  const auto in_busiest_shard = [](TrialTerms& t) {
     t.truth.only_shard = 0;
-  };  // the one with the most traffic
-  const auto few = [](TrialTerms& t) { t.truth.shards = 4, t.most_copies = 400'000; };
+  };  // shard 0 has the most traffic
+  const auto use_four_shards = [](TrialTerms& t) { t.truth.shards = 4, t.most_copies = 400'000; };
   return {
       {"alike", "nothing differs beyond the control",
        terms([](TrialTerms& t) { t.most_copies = 300'000; }), MapFinding::must_not},
       {"alike-4", "the same, a map of 4 shards, to its verdict",
-       terms([&](TrialTerms& t) { few(t); }), MapFinding::must_not},
+       terms([&](TrialTerms& t) { use_four_shards(t); }), MapFinding::must_not},
       {"alike-busy", "the same, 1 in 50 differs by publication, 1 in 50 fails",
        terms([](TrialTerms& t) {
          t.truth.published = 0.019, t.truth.failing = 0.02;
@@ -63,18 +63,19 @@
        }),
        MapFinding::must_not},
       {"differs", "one shard of 4 differs by the margin, 0.001", terms([&](TrialTerms& t) {
-         few(t), in_one(t);
+         use_four_shards(t), in_busiest_shard(t);
          t.truth.differs = 0.001, t.truth.published = 0.0002;
        }),
        MapFinding::may_be_used},
       {"fails", "one shard of 4 fails by the margin, 0.001", terms([&](TrialTerms& t) {
-         few(t), in_one(t);
+         use_four_shards(t), in_busiest_shard(t);
          t.truth.fails = 0.001, t.truth.failing = 0.0002;
        }),
        MapFinding::may_be_used},
       {"slower", "one shard of 4 is later by the margin, 0.05", terms([&](TrialTerms& t) {
-         few(t), in_one(t);
-         t.truth.slower = 0.064;  // of these 0.79 come later than an edge that they would have kept
+         use_four_shards(t), in_busiest_shard(t);
+         t.truth.slower = 0.064;  // 0.79 of these responses exceed a latency bound that they would
+                                  // otherwise meet
        }),
        MapFinding::may_be_used},
       {"differs-64", "each of 64 shards differs by the margin, 0.001",
@@ -84,9 +85,9 @@
 
 struct TimeCase {
   const char* name;
-  const char* what;
+  const char* description;
   ShadowFleetTerms terms;
-  std::uint32_t one_in = 1;  // of the plays asked for: the long ones are fewer
+  std::uint32_t run_divisor = 1;  // divides the requested number of runs; above 1 for long cases
 };
 std::vector<TimeCase> time_cases() {
   ShadowFleetTerms rare;
@@ -122,73 +123,77 @@
           {"deaths", "the holder and a tenth die after 200 s", deaths, 20}};
 }
 
-bool wanted(const ShadowStudy& study, const char* name) {
+bool is_selected(const ShadowStudy& study, const char* name) {
   return study.cases.empty() || std::ranges::find(study.cases, name) != study.cases.end();
 }
 
-bool study_errors(const ShadowStudy& study, const ErrorCase& c) {
-  const auto plays = play_seeds(study.first_seed, study.maps,
-                                [&](std::uint64_t seed) { return play_trial(c.terms, seed); });
+bool print_error_case(const ShadowStudy& study, const ErrorCase& c) {
+  const auto runs = run_seeds(study.first_seed, study.maps,
+                              [&](std::uint64_t seed) { return play_trial(c.terms, seed); });
   std::array<std::uint32_t, 3> by_finding{};
-  std::uint32_t wrong = 0;
+  std::uint32_t wrong_count = 0;
   std::vector<double> copies;
-  for (const auto& p : plays) {
+  for (const auto& p : runs) {
     ++by_finding.at(static_cast<std::size_t>(p.map));
-    wrong += p.map == c.wrong || (c.wrong == MapFinding::must_not && p.bad_shards > 0) ? 1 : 0;
+    wrong_count += p.map == c.wrong_finding ||
+                           (c.wrong_finding == MapFinding::must_not && p.bad_shards > 0)
+                       ? 1
+                       : 0;
     if (p.map != MapFinding::undecided) copies.push_back(static_cast<double>(p.copies));
   }
-  const bool kept = wrong < fleet::kWrongRate * study.maps || wrong == 0;
-  std::printf("| %s | %s | %u | %u | %u | %u | %.0f | %s %.4f (goal under %.2f)%s |\n", c.name,
-              c.what, study.maps, by_finding[1], by_finding[2], by_finding[0],
-              percentile(copies, 0.5),
-              c.wrong == MapFinding::must_not ? "wrong against it" : "wrong \"may be used\"",
-              static_cast<double>(wrong) / study.maps, fleet::kWrongRate, kept ? "" : " MISSED");
+  const bool is_met = wrong_count < fleet::kWrongRate * study.maps || wrong_count == 0;
+  std::printf(
+      "| %s | %s | %u | %u | %u | %u | %.0f | %s %.4f (goal under %.2f)%s |\n", c.name,
+      c.description, study.maps, by_finding[1], by_finding[2], by_finding[0],
+      percentile(copies, 0.5),
+      c.wrong_finding == MapFinding::must_not ? "wrong against it" : "wrong \"may be used\"",
+      static_cast<double>(wrong_count) / study.maps, fleet::kWrongRate, is_met ? "" : " MISSED");
   std::fflush(stdout);
-  return kept;
+  return is_met;
 }
 
-bool study_time(const ShadowStudy& study, const TimeCase& c) {
-  const auto number = std::max(1U, study.plays / c.one_in);
-  const auto plays = play_seeds(study.first_seed, number, [&](std::uint64_t seed) {
-    return play_shadow_fleet(c.terms, seed);
-  });
-  std::vector<double> copies, told, found, stopped, intake, lost;
-  std::uint32_t records = 0, untold = 0, unstopped = 0;
+bool print_time_case(const ShadowStudy& study, const TimeCase& c) {
+  const auto run_count = std::max(1U, study.plays / c.run_divisor);
+  const auto runs = run_seeds(study.first_seed, run_count,
+                              [&](std::uint64_t seed) { return play_shadow_fleet(c.terms, seed); });
+  std::vector<double> copies, verdict_times, found_after, stopped_after, intake, lost;
+  std::uint32_t records = 0, without_verdict = 0, not_stopped = 0;
   bool exceeded = false;
-  const bool stops = c.terms.truth.fails > 0.5, ends = c.terms.ends_at > 0;
-  for (const auto& p : plays) {
+  const bool expects_stop = c.terms.truth.fails > 0.5, has_end = c.terms.ends_at > 0;
+  for (const auto& p : runs) {
     copies.push_back(static_cast<double>(p.copies));
-    if (p.told) told.push_back(*p.told);
-    if (p.found_after) found.push_back(*p.found_after);
-    if (p.stopped_after) stopped.push_back(*p.stopped_after);
-    untold += p.told ? 0 : 1;
-    unstopped += p.stopped_after ? 0 : 1;
+    if (p.told) verdict_times.push_back(*p.told);
+    if (p.found_after) found_after.push_back(*p.found_after);
+    if (p.stopped_after) stopped_after.push_back(*p.stopped_after);
+    without_verdict += p.told ? 0 : 1;
+    not_stopped += p.stopped_after ? 0 : 1;
     intake.push_back(p.worst_intake);
     lost.push_back(static_cast<double>(p.lost) /
                    static_cast<double>(std::max<std::uint64_t>(1, p.copies)));
     records = std::max(records, p.records);
     exceeded = exceeded || p.exceeded;
   }
-  bool kept = !exceeded;
-  std::printf("| %s | %s | %u | ", c.name, c.what, number);
-  if (stops) {
-    kept = kept && unstopped == 0 && percentile(stopped, 0.99) <= 2;
+  bool is_met = !exceeded;
+  std::printf("| %s | %s | %u | ", c.name, c.description, run_count);
+  if (expects_stop) {
+    is_met = is_met && not_stopped == 0 && percentile(stopped_after, 0.99) <= 2;
     std::printf(
         "told %.2f s, stopped %.2f s after the evidence (median), %.2f s (99th percentile; goal 2) "
         "|",
-        percentile(found, 0.5), percentile(stopped, 0.5), percentile(stopped, 0.99));
-  } else if (ends) {
+        percentile(found_after, 0.5), percentile(stopped_after, 0.5),
+        percentile(stopped_after, 0.99));
+  } else if (has_end) {
     std::printf("%.0f copies, the holder at the end doesn't know %.4f of them, told %u |",
-                percentile(copies, 0.5), percentile(lost, 0.5), number - untold);
+                percentile(copies, 0.5), percentile(lost, 0.5), run_count - without_verdict);
   } else {
-    kept = kept && untold == 0 && percentile(copies, 0.5) <= 30'000;
+    is_met = is_met && without_verdict == 0 && percentile(copies, 0.5) <= 30'000;
     std::printf("told after %.0f copies (median; goal 30,000), %.0f (95th percentile), %.0f s |",
-                percentile(copies, 0.5), percentile(copies, 0.95), percentile(told, 0.5));
+                percentile(copies, 0.5), percentile(copies, 0.95), percentile(verdict_times, 0.5));
   }
   std::printf(" %.0f | %u | %s%s |\n", percentile(intake, 1), records,
-              exceeded ? "MORE THAN MADE" : "never more than made", kept ? "" : " MISSED");
+              exceeded ? "MORE THAN MADE" : "never more than made", is_met ? "" : " MISSED");
   std::fflush(stdout);
-  return kept;
+  return is_met;
 }
 
 }  // namespace
@@ -197,24 +202,24 @@
   const auto errors = error_cases();
   const auto times = time_cases();
   for (const auto& name : study.cases) {
-    const auto is = [&](const auto& c) { return name == c.name; };
-    if (std::ranges::none_of(errors, is) && std::ranges::none_of(times, is))
+    const auto has_name = [&](const auto& c) { return name == c.name; };
+    if (std::ranges::none_of(errors, has_name) && std::ranges::none_of(times, has_name))
       throw std::invalid_argument("no case " + name + " of shadow");
   }
-  bool kept = true;
+  bool is_met = true;
   std::printf(
       "| case | what | maps | may be used | must not | undecided | copies until found, median | "
       "errors |\n");
   std::printf("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (const auto& c : errors)
-    if (wanted(study, c.name)) kept = study_errors(study, c) && kept;
+    if (is_selected(study, c.name)) is_met = print_error_case(study, c) && is_met;
   std::printf(
       "\n| case | what | plays | result | words a node took in, worst second | records | counts "
       "|\n");
   std::printf("| --- | --- | --- | --- | --- | --- | --- |\n");
   for (const auto& c : times)
-    if (wanted(study, c.name)) kept = study_time(study, c) && kept;
-  return kept ? 0 : 1;
+    if (is_selected(study, c.name)) is_met = print_time_case(study, c) && is_met;
+  return is_met ? 0 : 1;
 }
 
 }  // namespace petrelrail::lab
