--- a/lab/jobs_study.cpp
+++ b/lab/jobs_study.cpp
@@ -15,30 +15,34 @@
 
 using namespace world;
 
-constexpr double kGoalS = 5;        // until a job goes on, 99th percentile
-constexpr double kPlayMinutes = 5;  // of one play of all faults
+// Goal for the 99th percentile of the time until a job continues after a fault, in seconds.
 
-void on_threads(unsigned threads, std::size_t plays, const std::function<void(std::size_t)>& play) {
+constexpr double kMaxRecoveryP99Seconds = 5;
+constexpr double kRunMinutes = 5;  // simulated duration of one run with all faults
+
+// Calls run(0) to run(runs - 1) on the given number of threads and waits for all of them.
+
+void run_parallel(unsigned threads, std::size_t runs, const std::function<void(std::size_t)>& run) {
   std::atomic<std::size_t> next{0};
   std::vector<std::jthread> workers;
   for (unsigned w = 0; w < threads; ++w)
     workers.emplace_back([&] {
-      for (auto i = next++; i < plays; i = next++) play(i);
+      for (auto i = next++; i < runs; i = next++) run(i);
     });
 }
 
-double percentile(const std::vector<double>& sorted, double part) {
+double percentile(const std::vector<double>& sorted, double fraction) {
   if (sorted.empty()) return 0;
-  return sorted[static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1))];
+  return sorted[static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1))];
 }
 
-void print_words(const JobFleet::Violations& b, std::uint64_t seed) {
+void print_violations(const JobFleet::Violations& b, std::uint64_t seed) {
   for (const auto& w : b.texts)
     std::printf("  seed %llu, %s\n", static_cast<unsigned long long>(seed), w.c_str());
 }
 
 bool print_recovery(const JobsStudy& s) {
-  bool holds = true;
+  bool all_goals_met = true;
   std::printf("%u nodes, %u seeds from %llu, four holders after one another\n\n", s.nodes, s.seeds,
               static_cast<unsigned long long>(s.first_seed));
   std::printf(
@@ -49,46 +53,47 @@
   for (const auto fault :
        {HolderFault::kill, HolderFault::stall, HolderFault::cut, HolderFault::leave})
     for (const std::uint32_t jobs : {1U, 100U}) {
-      std::vector<RecoveryResult> found(s.seeds);
-      on_threads(s.threads, s.seeds, [&](std::size_t i) {
-        found[i] = run_recovery_case(fault, s.nodes, jobs, s.first_seed + i);
+      std::vector<RecoveryResult> results(s.seeds);
+      run_parallel(s.threads, s.seeds, [&](std::size_t i) {
+        results[i] = run_recovery_case(fault, s.nodes, jobs, s.first_seed + i);
       });
       std::vector<double> all;
       std::uint64_t never = 0, breaches = 0;
-      std::uint32_t by_one = 0;
-      for (std::size_t i = 0; i < found.size(); ++i) {
-        const auto& r = found[i];
+      std::uint32_t max_jobs_at_one_node = 0;
+      for (std::size_t i = 0; i < results.size(); ++i) {
+        const auto& r = results[i];
         all.insert(all.end(), r.recovery_times_s.begin(), r.recovery_times_s.end());
         never += r.unrecovered, breaches += r.violations.total();
-        by_one = std::max(by_one, r.max_jobs_per_successor);
-        print_words(r.violations, s.first_seed + i);
+        max_jobs_at_one_node = std::max(max_jobs_at_one_node, r.max_jobs_per_successor);
+        print_violations(r.violations, s.first_seed + i);
       }
       std::ranges::sort(all);
       const double p99 = percentile(all, 0.99);
       std::printf("| %s | %u | %zu | %.2f s | %.2f s | %.2f s | %llu | %u | %llu |\n",
                   name_of(fault), jobs, all.size(), percentile(all, 0.5), p99, percentile(all, 1),
-                  static_cast<unsigned long long>(never), by_one,
+                  static_cast<unsigned long long>(never), max_jobs_at_one_node,
                   static_cast<unsigned long long>(breaches));
       std::fflush(stdout);
-      holds = holds && p99 <= kGoalS && never == 0 && breaches == 0 && !all.empty();
+      all_goals_met = all_goals_met && p99 <= kMaxRecoveryP99Seconds && never == 0 &&
+                      breaches == 0 && !all.empty();
     }
-  return holds;
+  return all_goals_met;
 }
 
 bool print_faults(const JobsStudy& s) {
-  const auto plays = static_cast<std::size_t>(s.minutes / kPlayMinutes);
-  std::vector<RandomFaultResult> found(plays);
-  on_threads(s.threads, plays, [&](std::size_t i) {
+  const auto runs = static_cast<std::size_t>(s.minutes / kRunMinutes);
+  std::vector<RandomFaultResult> results(runs);
+  run_parallel(s.threads, runs, [&](std::size_t i) {
     RandomFaultConfig t;
-    t.seed = s.first_seed + i, t.minutes = kPlayMinutes;
-    found[i] = run_random_faults(t);
+    t.seed = s.first_seed + i, t.minutes = kRunMinutes;
+    results[i] = run_random_faults(t);
   });
   JobFleet::Violations b;
   JobFleet::Counts c;
   double minutes = 0;
   std::uint64_t stuck = 0;
-  for (std::size_t i = 0; i < plays; ++i) {
-    const auto& f = found[i];
+  for (std::size_t i = 0; i < runs; ++i) {
+    const auto& f = results[i];
     b.concurrent_runs += f.violations.concurrent_runs, b.older_epoch += f.violations.older_epoch;
     b.rerun_after_fetch += f.violations.rerun_after_fetch,
         b.unsafe_reruns += f.violations.unsafe_reruns;
@@ -100,12 +105,12 @@
         c.unknown_outcomes += f.counts.unknown_outcomes;
     c.jobs_dropped += f.counts.jobs_dropped;
     minutes += f.minutes, stuck += f.unfinished_jobs;
-    print_words(f.violations, s.first_seed + i);
+    print_violations(f.violations, s.first_seed + i);
   }
   const auto row = [](const char* what, std::uint64_t n) {
     std::printf("| %s | %llu |\n", what, static_cast<unsigned long long>(n));
   };
-  std::printf("\nAll faults, 12 nodes, 6 jobs at a time, %zu plays from seed %llu\n\n", plays,
+  std::printf("\nAll faults, 12 nodes, 6 jobs at a time, %zu plays from seed %llu\n\n", runs,
               static_cast<unsigned long long>(s.first_seed));
   std::printf("| what | count |\n| --- | --- |\n");
   row("simulated minutes", static_cast<std::uint64_t>(minutes));
@@ -133,9 +138,9 @@
   if (s.nodes < 5) throw std::invalid_argument("nodes: 5 at least");
   if (s.threads == 0) throw std::invalid_argument("threads: above 0");
   if (s.minutes < 0) throw std::invalid_argument("minutes: not below 0");
-  const bool recovers = s.seeds == 0 || print_recovery(s);
-  const bool keeps = s.minutes < kPlayMinutes || print_faults(s);
-  return recovers && keeps ? 0 : 1;
+  const bool recovery_passes = s.seeds == 0 || print_recovery(s);
+  const bool faults_pass = s.minutes < kRunMinutes || print_faults(s);
+  return recovery_passes && faults_pass ? 0 : 1;
 }
 
 }  // namespace petrelrail::lab
