--- a/src/world/run_stats.cpp
+++ b/src/world/run_stats.cpp
@@ -209,10 +209,10 @@
 double RunStats::latency_ms(double part, double from, double to) const {
   const auto all = merged(from, to);
   const double n = boost::histogram::algorithm::sum(all);
-  double seen = 0;
+  double cumulative = 0;
   for (const auto& bin : boost::histogram::indexed(all)) {
-    seen += static_cast<double>(*bin);
-    if (n > 0 && seen >= part * n) return bin.bin().center();
+    cumulative += static_cast<double>(*bin);
+    if (n > 0 && cumulative >= part * n) return bin.bin().center();
   }
   return 0;
 }
--- a/src/world/run_stats.hpp
+++ b/src/world/run_stats.hpp
@@ -37,7 +37,7 @@
   datagrams,    // sent between nodes
   datagram_bytes,
   datagrams_in,  // received
-  breaches,
+  breaches,      // violations of invariants
   number_of
 };
 const char* name_of(Count c);
--- a/src/world/scenario.hpp
+++ b/src/world/scenario.hpp
@@ -37,13 +37,13 @@
   Range queue_per_core{8, 37};         // queued requests; further ones are rejected
   double work_ms = 60, work_cv = 0.9;  // of a request on a reference core
   double attempt_noise = 0.2;          // coefficient of variation between attempts of one request
-  double thrash = 0.2,
-         thrash_at = 5;         // loss of efficiency when requests per core exceed `thrash_at`
+  // Loss of efficiency for requests per core above `thrash_at`.
+  double thrash = 0.2, thrash_at = 5;
   Range cold_from{0.24, 0.44};  // share of its capacity right after a start
   Range cold_s{5, 18};          // duration of the warm-up
   // A cold server crashes on more work than this multiple of its capacity within `fall_s`.
   double fall_multiple = 2.5, fall_s = 1;
-  double connections_per_core = 500;  // further connection attempts fail
+  double connections_per_core = 500;  // above it, connection attempts fail
   double full_tax = 0.08;      // share of the capacity lost when the connection limit is reached
   double handshake_ms = 1;     // processing for each new connection
   double handshake_trips = 2;  // round trips before a new connection carries a request
--- a/src/world/simulated_runtime.cpp
+++ b/src/world/simulated_runtime.cpp
@@ -301,10 +301,10 @@
     const auto result = runtime_.simulation_->connect(node_, server);
     if (result != ConnectResult::up) {
       a.holds_connection = false;
-      const auto fails = result == ConnectResult::refused
-                             ? 2 * runtime_.simulation_->network_delay(node_, server)
-                             : settings_.connect_timeout;
-      return run_after(fails, [request = s.request, n](Process& p) {
+      const auto failure_delay = result == ConnectResult::refused
+                                     ? 2 * runtime_.simulation_->network_delay(node_, server)
+                                     : settings_.connect_timeout;
+      return run_after(failure_delay, [request = s.request, n](Process& p) {
         p.complete(request, n, AttemptOutcome::connect_failed, false);
       });
     }
--- a/src/world/simulation.cpp
+++ b/src/world/simulation.cpp
@@ -310,16 +310,16 @@
 // in proportion to the current rate.
 void Simulation::next_arrival(std::size_t customer) {
   auto& c = customers_[customer];
-  double most = std::max(c.spike, 1.0) * c.rate;
+  double max_rate = std::max(c.spike, 1.0) * c.rate;
   double factor = 1;
   for (const auto& f : scenario_.faults)
     if (f.kind == FaultKind::burst) factor = std::max(factor, f.factor);
-  most *= factor;
-  const Time when = queue_.now() + from_seconds(c.random.exponential(1 / most));
+  max_rate *= factor;
+  const Time when = queue_.now() + from_seconds(c.random.exponential(1 / max_rate));
   const double keep = c.random.uniform();
   if (when >= clients_stop_at_) return;
-  queue_.at(when, [this, customer, keep, most] {
-    if (keep * most < rate_now(customers_[customer], queue_.now()))
+  queue_.at(when, [this, customer, keep, max_rate] {
+    if (keep * max_rate < rate_now(customers_[customer], queue_.now()))
       send_client_attempt(customer, nullptr);
     next_arrival(customer);
   });
@@ -726,13 +726,14 @@
     if (answer.kind == Counter::Answer::Kind::none) effects_.record(FaultKind::counter_silent);
     if (answer.kind == Counter::Answer::Kind::refused) effects_.record(FaultKind::counter_refusing);
     if (answer.kind == Counter::Answer::Kind::malformed) effects_.record(FaultKind::counter_spoilt);
-    const bool comes = answer.kind != Counter::Answer::Kind::none;
+    const bool is_answered = answer.kind != Counter::Answer::Kind::none;
     // A late answer counts as none: the caller has stopped waiting.
     const bool in_time = answer.at - queue_.now() <
                          from_seconds(scenario_.counter.timeout_ms / 1e3);
-    observe(CounterCalled{node, comes && in_time && answer.kind != Counter::Answer::Kind::refused,
+    observe(CounterCalled{node,
+                          is_answered && in_time && answer.kind != Counter::Answer::Kind::refused,
                           answer.at - queue_.now()});
-    if (!comes) return;
+    if (!is_answered) return;
     queue_.at(answer.at + counter_delay(node), [this, node, answer, on_answer] {
       if (counter_.mode() == Counter::Mode::silent || !network_.passes(kCounter, node_party(node)))
         return;
@@ -853,7 +854,7 @@
     return scaled(lasts, static_cast<double>(i) /
                              static_cast<double>(std::max<std::size_t>(nodes.size(), 1)));
   };
-  const auto vanish = [&](const std::vector<std::uint32_t>& which) {
+  const auto make_unresponsive = [&](const std::vector<std::uint32_t>& which) {
     for (const auto s : which) {
       if (servers_[s].model.phase() == PriceServer::Phase::serving) effects_.add(number);
       stop_server(s, PriceServer::Phase::unresponsive);
@@ -868,7 +869,7 @@
       }
     };
   };
-  const auto silence = [&](Counter::Mode mode) {
+  const auto disable_counter = [&](Counter::Mode mode) {
     counter_.set_mode(queue_.now(), mode);
     runtime_.network_changed();
     return [this, empty = f.empty] {
@@ -938,8 +939,8 @@
       counter_.set_slowdown(f.factor);
       undo = [this] { counter_.set_slowdown(1); };
       break;
-    case FaultKind::counter_silent: undo = silence(Counter::Mode::silent); break;
-    case FaultKind::counter_refusing: undo = silence(Counter::Mode::refusing); break;
+    case FaultKind::counter_silent: undo = disable_counter(Counter::Mode::silent); break;
+    case FaultKind::counter_refusing: undo = disable_counter(Counter::Mode::refusing); break;
     case FaultKind::counter_empty:
       effects_.add(number);
       counter_.reset(queue_.now());
@@ -951,16 +952,16 @@
       break;
     case FaultKind::zone_lost: {
       Selector in_zone{Selector::Kind::servers, Selector::Pick::zone, 0, 0, 0, f.zone};
-      auto back = vanish(select(in_zone, servers_.size(), number));
-      std::function<void()> counter_back;
-      if (f.counter) counter_back = silence(Counter::Mode::silent);
-      undo = [back, counter_back] {
-        back();
-        if (counter_back) counter_back();
+      auto restore_servers = make_unresponsive(select(in_zone, servers_.size(), number));
+      std::function<void()> restore_counter;
+      if (f.counter) restore_counter = disable_counter(Counter::Mode::silent);
+      undo = [restore_servers, restore_counter] {
+        restore_servers();
+        if (restore_counter) restore_counter();
       };
       break;
     }
-    case FaultKind::servers_gone: undo = vanish(servers); break;
+    case FaultKind::servers_gone: undo = make_unresponsive(servers); break;
     case FaultKind::servers_bad:
       for (const auto s : servers) servers_[s].errors = f.share;
       undo = [this, servers] {
