--- a/lab/duty_study.cpp
+++ b/lab/duty_study.cpp
@@ -144,11 +144,11 @@
 // Explores the models in parallel and prints the results in their order.
 int print_exploration(const DutyStudy& s) {
   auto models = exploration_scenarios(true);
-  struct ExplorationResult {
+  struct TimedExploration {
     ExplorationResult explored;
     double duration_s = 0;
   };
-  std::vector<ExplorationResult> results(models.size());
+  std::vector<TimedExploration> results(models.size());
   std::atomic<std::size_t> next{0};
   std::vector<std::jthread> workers;
   for (unsigned w = 0; w < std::max(1U, std::thread::hardware_concurrency() / 2); ++w)
