--- a/bench/cost.cpp
+++ b/bench/cost.cpp
@@ -158,7 +158,7 @@
   Bench() {
     NodeConfig c;
     c.listen = Tcp::endpoint(asio::ip::address_v4::loopback(), 0);
-    c.discovery = agent.at(), c.discovery_host = agent.text(), c.counter = counter.at(),
+    c.discovery = agent.endpoint(), c.discovery_host = agent.text(), c.counter = counter.endpoint(),
     c.control = c.listen;
     c.descriptors = 1024, c.seed = 1, c.keep_alive = 30s;
     c.settings.settings = settings();
--- a/tests/acceptance_terms_test.cpp
+++ b/tests/acceptance_terms_test.cpp
@@ -54,8 +54,12 @@
                      if (w.message().starts_with("GET /api/targets?watch=1&") && ++others == 1)
                        w.send(kHead + chunk("\n"));
                    }};
-  Discovery other{
-      loop.io, timers, other_agent.at(), other_agent.text(), {{"a", 0}}, [](auto, const auto&) {}};
+  Discovery other{loop.io,
+                  timers,
+                  other_agent.endpoint(),
+                  other_agent.text(),
+                  {{"a", 0}},
+                  [](auto, const auto&) {}};
   other.start(nlohmann::json::parse(list(41, true, member("s-0000000a"))));
   ASSERT_TRUE(loop.until([&] { return others == 1; }));
   start();
@@ -88,7 +92,7 @@
                  w.send(kHead + chunk(list(50, false, member("s-0000000b")) + "\n"));
              }};
   const auto before = asked.size();
-  discovery.set_agent(moved.at(), moved.text());
+  discovery.set_agent(moved.endpoint(), moved.text());
   ASSERT_TRUE(wait_for(2));
   EXPECT_EQ(there, 3u);
   EXPECT_EQ(asked.size(), before);
@@ -106,15 +110,15 @@
 TEST_F(EndTerms, AConnectionThatCameJustBeforeTheSignalIsServed) {
   start();
   const auto kept = client();
-  kept->send(Ask{}.text());
+  kept->send(RequestSpec{}.text());
   ASSERT_EQ(status(kept), 200);
   const auto fresh = client();
   ASSERT_TRUE(
-      loop.until([&] { return figure("node_sessions 3"); }));  // the test's first one as well
+      loop.until([&] { return has_metric("node_sessions 3"); }));  // the test's first one as well
   drain();
   ASSERT_TRUE(loop.until([&] { return kept->ended; }));  // between requests
   EXPECT_FALSE(fresh->ended);
-  fresh->send(Ask{.id = "a2"}.text());
+  fresh->send(RequestSpec{.id = "a2"}.text());
   EXPECT_EQ(status(fresh), 200);
   EXPECT_NE(answer.find("Connection: close\r\n"), std::string::npos);
   EXPECT_TRUE(loop.until([&] { return ended; }));
@@ -123,9 +127,9 @@
 TEST_F(EndTerms, ARequestThatCrossesTheSignalIsServed) {
   start();
   const auto w = client();
-  w->send(Ask{}.text());
+  w->send(RequestSpec{}.text());
   ASSERT_EQ(status(w), 200);
-  asio::write(w->socket, asio::buffer(Ask{.id = "a2"}.text()));
+  asio::write(w->socket, asio::buffer(RequestSpec{.id = "a2"}.text()));
   drain();
   EXPECT_EQ(status(w), 200);
   EXPECT_TRUE(loop.until([&] { return ended; }));
@@ -135,17 +139,17 @@
 TEST_F(EndTerms, ARequestThatComesLateIsAnsweredBeforeTheKill) {
   start();
   respond = {};
-  auto a = Ask{.timeout = "3600000"};
+  auto a = RequestSpec{.timeout = "3600000"};
   const auto slow = client();
   const auto text = a.text();
   slow->send(text.substr(0, 100));
-  ASSERT_TRUE(loop.until([&] { return figure("node_sessions 2"); }));
+  ASSERT_TRUE(loop.until([&] { return has_metric("node_sessions 2"); }));
   drain();
   const auto mark = client();  // closed when new ones come no more
   ASSERT_TRUE(loop.until([&] { return mark->ended; }));
   slow->send(text.substr(100));
   EXPECT_GE(status(slow), 429);
-  EXPECT_EQ(seen.size(), 1u);
+  EXPECT_EQ(received_requests.size(), 1u);
   EXPECT_TRUE(loop.until([&] { return ended; }));
 }
 
@@ -158,12 +162,12 @@
   start();
   respond = [&](Wire& w, const std::string&) {
     w.send("HTTP/1.1 200 OK\r\nContent-Length: " +
-           std::string(seen.size() == 1 ? "600000" : "60000") + "\r\n\r\nabc");
+           std::string(received_requests.size() == 1 ? "600000" : "60000") + "\r\n\r\nabc");
   };
   std::vector<std::shared_ptr<Wire>> both;
   for (const char* id : {"a1", "a2"}) {
     both.push_back(client());
-    both.back()->send(Ask{.id = id, .timeout = "500"}.text());
+    both.back()->send(RequestSpec{.id = id, .timeout = "500"}.text());
     ASSERT_TRUE(loop.until([&] { return both.back()->in.ends_with("abc"); }));
   }
   ASSERT_TRUE(loop.until([&] { return both[1]->ended; }));
@@ -177,12 +181,12 @@
   one_server = true;
   start();
   const auto w = client();
-  w->send(Ask{}.text());
+  w->send(RequestSpec{}.text());
   ASSERT_EQ(status(w), 200);
   server.wires[0]->send(http_answer("200 OK", "again"));
   EXPECT_TRUE(loop.until([&] { return server.wires[0]->ended; }));
-  EXPECT_TRUE(figure("node_pool_stale_drops 1"));
-  EXPECT_TRUE(figure("node_pool_open 0"));
+  EXPECT_TRUE(has_metric("node_pool_stale_drops 1"));
+  EXPECT_TRUE(has_metric("node_pool_open 0"));
 }
 
 }  // namespace
--- a/tests/agent.hpp
+++ b/tests/agent.hpp
@@ -67,9 +67,9 @@
   std::vector<Update> told;
   Peer agent{loop.io, [this](Wire& w) { came(w); }};
   Discovery discovery{
-      loop.io,     timers,
-      agent.at(),  agent.text(),
-      {{"a", 0}},  [this](EndpointListKind k, const auto& e) { told.push_back({k, e}); },
+      loop.io,          timers,
+      agent.endpoint(), agent.text(),
+      {{"a", 0}},       [this](EndpointListKind k, const auto& e) { told.push_back({k, e}); },
       Duration(1s)};
 };
 
--- a/tests/attempt_race_test.cpp
+++ b/tests/attempt_race_test.cpp
@@ -7,7 +7,7 @@
 
 struct AttemptCrossing : NodeTest {
   // A request whose first attempt has come to a server and waits there.
-  std::shared_ptr<Wire> asked(const Ask& a) {
+  std::shared_ptr<Wire> asked(const RequestSpec& a) {
     respond = [this](Wire& w, const std::string&) {
       if (!first) first = w.shared_from_this();
     };
@@ -33,48 +33,48 @@
   for (const std::string& text :
        {std::string("HTTP/1.1 20"), chunked + "5\r\nab", chunked + "2\r\nab\r\n0\r\nX-T: 1\r\n",
         http_answer("200 OK") + http_answer("200 OK")}) {
-    seen.clear(), first = nullptr;
-    const auto w = asked(notice());
+    received_requests.clear(), first = nullptr;
+    const auto w = asked(unsafe_request());
     serve_the_next();
     first->send(text, true);
     const int s = status(w);
     EXPECT_TRUE(s >= 500 && s != 503) << s << text;
-    EXPECT_EQ(seen.size(), 1u) << text;
-    EXPECT_EQ(status(Ask{}), 200);
+    EXPECT_EQ(received_requests.size(), 1u) << text;
+    EXPECT_EQ(status(RequestSpec{}), 200);
   }
 }
 // The first attempt's connection is closed before the second is written, though the server still
 // holds it open.
 TEST_F(AttemptCrossing, TwoAttemptsAreNeverOutAtOnce) {
   start();
-  const auto w = asked(Ask{});
+  const auto w = asked(RequestSpec{});
   std::shared_ptr<Wire> next;
   respond = [&](Wire& c, const std::string&) { next = c.shared_from_this(); };
   first->send("HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n");
   ASSERT_TRUE(loop.until([&] { return next && first->ended; }));
   next->send(http_answer("200 OK", "served"));
   EXPECT_EQ(status(w), 200);
-  EXPECT_EQ(seen.size(), 2u);
+  EXPECT_EQ(received_requests.size(), 2u);
 }
 // What began under the old rules goes on under them.
 TEST_F(AttemptCrossing, AReloadThatMakesTheClassUnsafeLeavesWhatIsOutAsItWas) {
   start();
-  const auto w = asked(Ask{});
+  const auto w = asked(RequestSpec{});
   reload(0, Idempotency::non_idempotent);
   serve_the_next();
   first->reset();
   EXPECT_EQ(status(w), 200);
-  EXPECT_EQ(seen.size(), 2u);
+  EXPECT_EQ(received_requests.size(), 2u);
 }
 TEST_F(AttemptCrossing, AReloadThatMakesTheClassSafeLeavesWhatIsOutAsItWas) {
   start();
-  const auto w = asked(notice());
+  const auto w = asked(unsafe_request());
   reload(2, Idempotency::idempotent);
   serve_the_next();
   first->reset();
   const int s = status(w);
   EXPECT_TRUE(s >= 500 && s != 503) << s;
-  EXPECT_EQ(seen.size(), 1u);
+  EXPECT_EQ(received_requests.size(), 1u);
 }
 
 // Clients turn to a new configuration in a while: until then requests come in the form of before,
@@ -82,18 +82,18 @@
 TEST_F(AttemptCrossing, AReloadThatChangesAnEffectTakesTheFormsOfNowAndOfBefore) {
   start();
   reload(0, Idempotency::non_idempotent);
-  const Ask now{.method = "POST", .body = "b"}, before{};
+  const RequestSpec now{.method = "POST", .body = "b"}, before{};
   for (const auto& [a, attempts] : {std::pair(before, 2U), std::pair(now, 1U)}) {
-    seen.clear(), first = nullptr;
+    received_requests.clear(), first = nullptr;
     const auto w = asked(a);
     ASSERT_NE(first, nullptr);
     serve_the_next();
     first->reset();
     const int s = status(w);
     EXPECT_EQ(s == 200, attempts == 2U) << s;
-    EXPECT_EQ(seen.size(), attempts);
+    EXPECT_EQ(received_requests.size(), attempts);
   }
-  EXPECT_EQ(status(Ask{.more = "Idempotency-Key: k1\r\n"}), 405);  // of neither
+  EXPECT_EQ(status(RequestSpec{.extra_headers = "Idempotency-Key: k1\r\n"}), 405);  // of neither
   reload(0, Idempotency::idempotent);
   EXPECT_EQ(status(before), 200);
   EXPECT_EQ(status(now), 200);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,12 +1,14 @@
-// The watch on the list of servers over loopback sockets.
+// The watch on the list of price servers, against a scripted discovery agent over loopback sockets.
 #include "agent.hpp"
 
 namespace petrelrail::test {
 namespace {
 
+// The node must be able to serve from the cached list before discovery answers, and must watch from
+// the cached revision.
 TEST_F(DiscoveryTest, StartsFromWhatWasKnown) {
   start();
-  ASSERT_EQ(told.size(), 1u);  // at once, before any connection
+  ASSERT_EQ(told.size(), 1u);  // at once, before any connection is made
   EXPECT_EQ(told[0].kind, EndpointListKind::cached);
   ASSERT_EQ(told[0].entries.size(), 1u);
   EXPECT_EQ(told[0].entries[0].info.id, EndpointId(10));
@@ -14,6 +16,7 @@
   ASSERT_NE(watch(), nullptr);
   EXPECT_EQ(asked[0], "GET /api/targets?watch=1&from=41 HTTP/1.1");
 }
+// Guards against taking a change for the full list or the reverse, and against lost fields.
 TEST_F(DiscoveryTest, TakesChangesAndFullLists) {
   start();
   const auto w = watch();
@@ -27,6 +30,7 @@
   EXPECT_EQ(told[2].entries[0].info.started, Time(std::chrono::milliseconds(1700000000000)));
   EXPECT_EQ(told[2].entries[0].address.port(), 7071);
 }
+// A line may be split between two chunks.
 TEST_F(DiscoveryTest, LineMayComeInPieces) {
   start();
   const auto text = list(43, false, member("s-0000000a", "DELETED")) + "\n";
@@ -36,6 +40,7 @@
   ASSERT_TRUE(wait_for(2));
   EXPECT_EQ(told[1].entries[0].info.phase, EndpointPhase::gone);
 }
+// After a reset the watch must continue from the last revision, or changes are missed.
 TEST_F(DiscoveryTest, BrokenWatchGoesOnFromItsRevision) {
   start();
   watch()->send(kHead + chunk(list(50, false, member("s-0000000b")) + "\n"));
@@ -44,12 +49,14 @@
   ASSERT_NE(watch(2), nullptr);
   EXPECT_EQ(asked[1], "GET /api/targets?watch=1&from=50 HTTP/1.1");
 }
-// An agent that says nothing, not even the empty lines, may have lost the connection.
+// An agent that sends nothing, not even the empty keep-alive lines, may have lost the connection.
+// The watch must be begun again.
 TEST_F(DiscoveryTest, SilenceIsNoticed) {
   start();
   watch()->send(kHead + chunk("\n"));
   EXPECT_NE(watch(2), nullptr);
 }
+// One malformed entry must not cost the valid entries beside it.
 TEST_F(DiscoveryTest, BadEntryIsPassedOverAndTheRestTaken) {
   start();
   watch()->send(
@@ -63,7 +70,8 @@
   ASSERT_EQ(told[1].entries.size(), 1u);
   EXPECT_EQ(told[1].entries[0].info.id, EndpointId(11));
 }
-// What a line that can't be read held is not known: the watch is begun again from before it.
+// The changes in a line that does not parse are unknown: the watch must be begun again from the
+// revision before it.
 TEST_F(DiscoveryTest, BadLineBeginsTheWatchAgain) {
   start();
   watch()->send(kHead + chunk("{\"revision\":60,\n"));
@@ -71,18 +79,21 @@
   EXPECT_EQ(asked[1], "GET /api/targets?watch=1&from=41 HTTP/1.1");
   EXPECT_EQ(told.size(), 1u);
 }
+// A full list without any valid entry must not remove all known endpoints.
 TEST_F(DiscoveryTest, WholeListOfRubbishDoesNotEmptyTheList) {
   start();
   watch()->send(kHead + chunk(list(60, true, R"({"id":1},{"id":2})") + "\n"));
   ASSERT_NE(watch(2), nullptr);
   EXPECT_EQ(told.size(), 1u);
 }
+// Guards against a watch that is given up after an error status.
 TEST_F(DiscoveryTest, RefusalIsTriedAgain) {
   start();
   watch()->send(http_answer("500 Oops"));
   EXPECT_NE(watch(2), nullptr);
 }
-// Numbers are the same at every node, whatever came first, and two ids never share one.
+// Endpoint numbers must be the same at every node whatever the order of arrival, and two ids must
+// never share one.
 TEST_F(DiscoveryTest, NumbersComeFromTheIds) {
   start(
       list(1, true, member("s-0000000a") + "," + member("t-0000000a") + "," + member("odd name")));
--- a/tests/hot_restart_race_test.cpp
+++ b/tests/hot_restart_race_test.cpp
@@ -17,7 +17,7 @@
   HandoverCrossing() {
     config["settings"]["packages"][0]["units-per-s"] = 0;  // no quota refuses anything
     quiet.on([this](Wire& w) {
-      const auto port = std::to_string(server.at().port());
+      const auto port = std::to_string(server.endpoint().port());
       if (!w.message().empty() && tells)
         w.send(kHead + chunk(list(2, true, member("s-00000001", "SERVING", port)) + "\n"));
     });
@@ -25,7 +25,7 @@
   // A new process beside the one that serves, which can't be ready before discovery names a server
   // to it.
   void begin() {
-    old = child;
+    old_process = child;
     known = std::exchange(config["known"]["members"], json::array());
     config["discovery"] = quiet.text();
     start_one();
@@ -35,7 +35,7 @@
     config["control"] = "127.0.0.1:" + std::to_string(new_control.port());
     run();
     ASSERT_TRUE(loop.until([&] {
-      return call(new_control, "GET", "/ready").starts_with("HTTP/1.1 503");
+      return admin_request(new_control, "GET", "/ready").starts_with("HTTP/1.1 503");
     })) << log();
   }
   // The same, and it has the listening socket, which it has in common with its predecessor.
@@ -44,7 +44,7 @@
     ASSERT_TRUE(loop.until([&] { return has_socket(); }));
   }
   bool has_socket() {
-    const auto mine = sockets_of(child), its = sockets_of(old);
+    const auto mine = sockets_of(child), its = sockets_of(old_process);
     return std::ranges::any_of(
         mine, [&](const auto& s) { return std::ranges::find(its, s) != its.end(); });
   }
@@ -68,10 +68,11 @@
     return n;
   }
   bool ready(const Tcp::endpoint& control) {
-    return loop.until([&] { return call(control, "GET", "/ready").starts_with("HTTP/1.1 200"); });
+    return loop.until(
+        [&] { return admin_request(control, "GET", "/ready").starts_with("HTTP/1.1 200"); });
   }
   ::testing::AssertionResult serves() {
-    const auto told = asked(loop.connect(listen));
+    const auto told = response_on(loop.connect(listen));
     return (told.starts_with("HTTP/1.1 200") ? ::testing::AssertionSuccess()
                                              : ::testing::AssertionFailure())
            << told << log();
@@ -88,7 +89,7 @@
   }
   // The process that serves can be followed, as ever.
   void expect_followed() {
-    if (old > 0) others.push_back(std::exchange(old, 0));
+    if (old_process > 0) others.push_back(std::exchange(old_process, 0));
     const auto before = count("taken over from a predecessor");
     config["known"]["members"] = known, config["discovery"] = agent.text();
     ASSERT_NO_FATAL_FAILURE(upgrade());
@@ -109,8 +110,8 @@
 TEST_F(HandoverCrossing, TermToTheOldOneBeforeTheNewOneAsks) {
   start(old_control);
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
-  kill(old, SIGTERM);
-  EXPECT_EQ(ended(old), 0);
+  kill(old_process, SIGTERM);
+  EXPECT_EQ(ended(old_process), 0);
   EXPECT_TRUE(logged("the predecessor hands nothing over"));
   tells = true;
   EXPECT_TRUE(ready(new_control));
@@ -126,14 +127,14 @@
   ASSERT_TRUE(loop.until([&] { return held != nullptr; }));
   answers = true;
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
-  kill(old, SIGTERM);
+  kill(old_process, SIGTERM);
   tells = true;
   EXPECT_TRUE(logged("taken over from a predecessor"));
   EXPECT_TRUE(ready(new_control));
   EXPECT_TRUE(serves());
   held->send(http_answer("200 OK", "served"));
   EXPECT_TRUE(served(out));
-  EXPECT_EQ(ended(old), 0);
+  EXPECT_EQ(ended(old_process), 0);
   EXPECT_TRUE(serves());
 }
 // The new process ends before it has taken over: what the old one holds stays with it.
@@ -141,12 +142,12 @@
   start(old_control);
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
   kill(child, SIGTERM);
-  EXPECT_FALSE(
-      call(new_control, "GET", "/ready").starts_with("HTTP/1.1 200"));  // the signal came before
+  EXPECT_FALSE(admin_request(new_control, "GET", "/ready")
+                   .starts_with("HTTP/1.1 200"));  // the signal came before
   tells = true;
   EXPECT_EQ(ended(child), 0);
   EXPECT_EQ(count("a successor takes over"), 0) << log();
-  child = std::exchange(old, 0);
+  child = std::exchange(old_process, 0);
   EXPECT_TRUE(serves());
   expect_followed();
 }
@@ -155,11 +156,11 @@
   ASSERT_NO_FATAL_FAILURE(upgrade());
   known = config["known"]["members"];
   const auto w = loop.connect(listen);
-  EXPECT_TRUE(asked(w).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(w).starts_with("HTTP/1.1 200"));
   kill(child, SIGTERM);
   EXPECT_EQ(ended(child), 0);
   EXPECT_TRUE(logged("clients are served here again"));
-  child = std::exchange(old, 0);
+  child = std::exchange(old_process, 0);
   EXPECT_TRUE(serves());
   expect_followed();
 }
@@ -167,9 +168,9 @@
 TEST_F(HandoverCrossing, TermToBoth) {
   start(old_control);
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
-  kill(child, SIGTERM), kill(old, SIGTERM);
+  kill(child, SIGTERM), kill(old_process, SIGTERM);
   EXPECT_EQ(ended(child), 0);
-  EXPECT_EQ(ended(old), 0);
+  EXPECT_EQ(ended(old_process), 0);
 }
 
 // ---- SIGHUP -------------------------------------------------------------------------------------
@@ -179,34 +180,34 @@
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
   Peer agent_now(loop.io);
   agent_now.on([this](Wire& w) {
-    const auto port = std::to_string(server.at().port());
+    const auto port = std::to_string(server.endpoint().port());
     if (!w.message().empty() && tells)
       w.send(kHead + chunk(list(2, true, member("s-00000001", "SERVING", port)) + "\n"));
   });
   config["discovery"] = agent_now.text();
   std::ofstream(dir / "config.json") << config;
-  kill(old, SIGHUP), kill(child, SIGHUP);
+  kill(old_process, SIGHUP), kill(child, SIGHUP);
   EXPECT_TRUE(logged("configuration read again", 2)) << log();
   EXPECT_TRUE(serves());  // by the old one
   tells = true;
   EXPECT_TRUE(ready(new_control));
   EXPECT_EQ(count("taken over from a predecessor"), 1);
   EXPECT_TRUE(serves());
-  kill(old, SIGTERM);
-  EXPECT_EQ(ended(old), 0);
+  kill(old_process, SIGTERM);
+  EXPECT_EQ(ended(old_process), 0);
   EXPECT_TRUE(serves());
 }
 TEST_F(HandoverCrossing, HangUpToBothAfterTheNewOneHasTakenOver) {
   start(old_control);
   const auto kept = loop.connect(listen);
-  EXPECT_TRUE(asked(kept).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(kept).starts_with("HTTP/1.1 200"));
   ASSERT_NO_FATAL_FAILURE(upgrade());
   Peer agent_now(loop.io);
   config["discovery"] = agent_now.text();
   std::ofstream(dir / "config.json") << config;
-  kill(old, SIGHUP), kill(child, SIGHUP);
+  kill(old_process, SIGHUP), kill(child, SIGHUP);
   EXPECT_TRUE(logged("configuration read again", 2)) << log();
-  EXPECT_TRUE(asked(kept).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(kept).starts_with("HTTP/1.1 200"));
   EXPECT_TRUE(serves());
 }
 
@@ -219,8 +220,8 @@
   ASSERT_NO_FATAL_FAILURE(begin());
   EXPECT_FALSE(has_socket());
   kill_now(child);
-  kill(old, SIGCONT);
-  child = std::exchange(old, 0);
+  kill(old_process, SIGCONT);
+  child = std::exchange(old_process, 0);
   EXPECT_TRUE(serves());
   expect_followed();
 }
@@ -228,7 +229,7 @@
   start(old_control);
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
   kill_now(child);
-  child = std::exchange(old, 0);
+  child = std::exchange(old_process, 0);
   EXPECT_TRUE(serves());
   EXPECT_EQ(count("a successor takes over"), 0) << log();
   expect_followed();
@@ -242,8 +243,8 @@
   EXPECT_TRUE(logged("the predecessor hands nothing over"));
   tells = true;
   EXPECT_TRUE(ready(new_control));
-  kill(old, SIGTERM), kill(old, SIGCONT);
-  EXPECT_EQ(ended(old), 0);
+  kill(old_process, SIGTERM), kill(old_process, SIGCONT);
+  EXPECT_EQ(ended(old_process), 0);
   EXPECT_TRUE(serves());
   expect_followed();
 }
@@ -251,7 +252,7 @@
 TEST_F(HandoverCrossing, ThePredecessorIsSilentWhenItIsAskedForItsState) {
   start(old_control);
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
-  kill(old, SIGSTOP);
+  kill(old_process, SIGSTOP);
   tells = true;
   const auto w = loop.connect(listen);
   w->send(ask());
@@ -301,8 +302,8 @@
   others.clear();
   EXPECT_TRUE(logged("another process follows"));
   EXPECT_EQ(count("the predecessor hands nothing over"), 0) << log();
-  kill(old, SIGTERM);
-  EXPECT_EQ(ended(old), 0);
+  kill(old_process, SIGTERM);
+  EXPECT_EQ(ended(old_process), 0);
   EXPECT_TRUE(serves());
   expect_followed();
 }
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// What passes between two processes of a node, and back again.
+// The state handed over between two processes of a node, and the socket over which it passes.
 #include "hot_restart.hpp"
 
 #include <gtest/gtest.h>
@@ -12,6 +12,7 @@
 
 using namespace std::chrono_literals;
 
+// Guards against a field that is lost or changed between export and import.
 TEST(HandoverTest, StateIsReadAsItWasWritten) {
   HandoverState s;
   HandoverState::CustomerLease l{CustomerId{7},
@@ -44,6 +45,7 @@
   EXPECT_EQ(read.leases[0].slot_release_times.back(), Time(7h));
   EXPECT_EQ(read.leases[1].current.last_response_time, Time::min());
 }
+// A malformed state must throw, so that it is never applied in part.
 TEST(HandoverTest, WhatCannotBeReadThrows) {
   for (const char* text :
        {"{}", "{\"leases\":[{}]}", "5", "{\"leases\":[{\"customer\":1,\"plan\":0,\"now\":[1]}]}"})
@@ -59,8 +61,9 @@
   void on_peer_message(const nlohmann::json&) override {}
   void on_peer_lost() override {}
 };
-// Without a descriptor an accept fails, and would fail again at once, as long as somebody waits: a
-// pause lies before the next one, and whoever waits is taken after it.
+// Without a free descriptor an accept fails, and would fail again at once as long as a connection
+// is pending. The server must pause before the next accept, or it spins, and must accept the
+// pending connection afterwards.
 TEST(HandoverTest, AnAcceptThatFailsIsTriedAgainAfterAPause) {
   asio::io_context io(1);
   Clock clock;
@@ -71,9 +74,9 @@
   HotRestart serving(io, timers, path, owner);
   serving.wait_for_successor();
   const asio::local::stream_protocol::endpoint at(path);
-  // One that comes and goes first: the sanitizers look at each type once, and need descriptors of
-  // their own for that.
-  asio::local::stream_protocol::socket first(io), waits(io);
+  // A first connection comes and goes: the sanitizers examine each type once and need descriptors
+  // of their own for that.
+  asio::local::stream_protocol::socket first(io), second(io);
   first.connect(at);
   while (!serving.is_connected() && io.run_one_for(10s) > 0) {}
   first.close();
@@ -82,18 +85,18 @@
   timers.after(1ms, [&] { fired = true; });
   while (!fired && io.run_one_for(10s) > 0) {}
   ASSERT_TRUE(fired && !serving.is_connected());
-  waits.connect(at);
-  rlimit given{};
-  ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &given), 0);
-  const int next = ::dup(waits.native_handle());
-  ::close(next);
-  const rlimit none{static_cast<rlim_t>(next), given.rlim_max};
-  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &none), 0);
-  std::size_t ran = 0;
-  while (ran < 1000 && io.poll_one() > 0) ++ran;
-  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &given), 0);
-  EXPECT_GE(ran, 1u);
-  EXPECT_LT(ran, 1000u);
+  second.connect(at);
+  rlimit saved_limit{};
+  ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &saved_limit), 0);
+  const int next_descriptor = ::dup(second.native_handle());
+  ::close(next_descriptor);
+  const rlimit exhausted_limit{static_cast<rlim_t>(next_descriptor), saved_limit.rlim_max};
+  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &exhausted_limit), 0);
+  std::size_t handlers_run = 0;
+  while (handlers_run < 1000 && io.poll_one() > 0) ++handlers_run;
+  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &saved_limit), 0);
+  EXPECT_GE(handlers_run, 1u);
+  EXPECT_LT(handlers_run, 1000u);
   EXPECT_FALSE(serving.is_connected());
   while (!serving.is_connected() && io.run_one_for(10s) > 0) {}
   EXPECT_TRUE(serving.is_connected());
--- a/tests/loopback_peers.hpp
+++ b/tests/loopback_peers.hpp
@@ -1,5 +1,5 @@
-// Scripted peers over loopback sockets, all on the test's own event loop: a test acts, then runs
-// the loop until what it waits for has happened.
+// Scripted TCP peers over loopback sockets, all on the test's own event loop. A test acts, then
+// runs the loop until its condition holds. Nothing here starts a thread.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,37 +18,40 @@
 
 using namespace std::chrono_literals;
 
-// One connection, of either side: `in` is all that has come and was not taken.
+// One end of a connection, accepted or connected. `in` holds the bytes received and not yet
+// consumed by message() or line().
 class Wire : public std::enable_shared_from_this<Wire> {
  public:
   explicit Wire(Socket s) : socket(std::move(s)) {}
 
   void read() {
     socket.async_read_some(asio::buffer(space_),
-                           [self = shared_from_this()](const error_code& failed, std::size_t n) {
+                           [self = shared_from_this()](const error_code& error, std::size_t n) {
                              self->in.append(self->space_.data(), n);
-                             if (failed)
-                               self->ended = true, self->broken = failed != asio::error::eof;
-                             if (self->came) self->came(*self);
-                             if (!failed) self->read();
+                             if (error)
+                               self->ended = true, self->has_error = error != asio::error::eof;
+                             if (self->on_data) self->on_data(*self);
+                             if (!error) self->read();
                            });
   }
-  // The last words end the sending side.
+  // Writes the text; with `last`, shuts down the sending side afterwards.
   void send(std::string text, bool last = false) {
-    const auto kept = std::make_shared<std::string>(std::move(text));
-    asio::async_write(socket, asio::buffer(*kept),
-                      [self = shared_from_this(), kept, last](const error_code&, std::size_t) {
+    const auto buffer = std::make_shared<std::string>(std::move(text));
+    asio::async_write(socket, asio::buffer(*buffer),
+                      [self = shared_from_this(), buffer, last](const error_code&, std::size_t) {
                         error_code ignored;
                         if (last) self->socket.shutdown(Socket::shutdown_send, ignored);
                       });
   }
   void close() { close_now(socket); }
-  void reset() {  // the other side sees a broken connection, as when the process dies
+  // Closes with a TCP reset, as the other side sees it when the process dies.
+  void reset() {
     error_code ignored;
     socket.set_option(asio::socket_base::linger(true, 0), ignored);
     close_now(socket);
   }
-  // Takes the next whole HTTP message, or "".
+  // Consumes the next complete HTTP message; returns "" if none is complete. The body's length is
+  // taken from Content-Length alone.
   std::string message() {
     const auto head = in.find("\r\n\r\n");
     if (head == std::string::npos) return {};
@@ -56,29 +59,31 @@
     if (const auto at = in.find("Content-Length: "); at < head)
       length = std::stoul(in.substr(at + 16));
     if (in.size() < head + 4 + length) return {};
-    auto whole = in.substr(0, head + 4 + length);
-    in.erase(0, whole.size());
-    return whole;
+    auto result = in.substr(0, head + 4 + length);
+    in.erase(0, result.size());
+    return result;
   }
-  // Takes the next line, or "".
+  // Consumes the next line, without its CRLF; returns "" if none is complete.
   std::string line() {
     const auto end = in.find("\r\n");
     if (end == std::string::npos) return {};
-    auto whole = in.substr(0, end);
+    auto result = in.substr(0, end);
     in.erase(0, end + 2);
-    return whole;
+    return result;
   }
 
   Socket socket;
   std::string in;
-  bool ended = false, broken = false;  // by whatever; and not in order
-  std::function<void(Wire&)> came;
+  bool ended = false, has_error = false;  // reading stopped; it stopped by another error than EOF
+  std::function<void(Wire&)> on_data;
 
  private:
   std::array<char, 16 * 1024> space_{};
 };
 
-// A listening peer on a port of the system's choice; `on` handles what comes in on each connection.
+// A peer listening on an ephemeral port. `on` is called after each read on an accepted connection.
+// With `accepts` false it accepts nothing before accept() is called, and its accept queue is the
+// shortest the system gives.
 class Peer {
  public:
   Peer(asio::io_context& io, std::function<void(Wire&)> on = {}, bool accepts = true)
@@ -95,25 +100,27 @@
   Peer& operator=(const Peer&) = delete;
 
   void accept() {
-    acceptor_.async_accept([this](const error_code& failed, Socket s) {
-      if (failed) return;
+    acceptor_.async_accept([this](const error_code& error, Socket s) {
+      if (error) return;
       wires.push_back(std::make_shared<Wire>(std::move(s)));
-      wires.back()->came = on_;
+      wires.back()->on_data = on_;
       wires.back()->read();
       accept();
     });
   }
-  void stop() {  // as a process that dies: nothing listens, every connection breaks
+  // Acts as a process that dies: closes the listener and resets every connection.
+  void stop() {
     error_code ignored;
     acceptor_.close(ignored);
-    for (const auto& w : wires) w->came = {}, w->reset();
+    for (const auto& w : wires) w->on_data = {}, w->reset();
   }
-  void close() {  // takes nothing new; what is open stays
+  // Closes the listener; open connections stay.
+  void close() {
     error_code ignored;
     acceptor_.close(ignored);
   }
   void on(std::function<void(Wire&)> handler) { on_ = std::move(handler); }
-  Tcp::endpoint at() const { return at_; }
+  Tcp::endpoint endpoint() const { return at_; }
   std::string text() const { return "127.0.0.1:" + std::to_string(at_.port()); }
 
   std::vector<std::shared_ptr<Wire>> wires;
@@ -127,10 +134,10 @@
 struct Loop {
   asio::io_context io{1};
 
-  // Runs the loop until something is so; false if it never came to be.
-  bool until(const std::function<bool()>& so, Duration limit = 30s) {
+  // Runs the loop until the condition holds; returns false if it does not within the limit.
+  bool until(const std::function<bool()>& condition, Duration limit = 30s) {
     const auto end = std::chrono::steady_clock::now() + limit;
-    while (!so()) {
+    while (!condition()) {
       if (std::chrono::steady_clock::now() > end) return false;
       io.restart();
       io.run_one_for(50ms);
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -1,5 +1,5 @@
-// The whole edge node over loopback sockets: clients, two servers, the counter and discovery are
-// scripted.
+// Runs a complete edge node in the test's process over loopback sockets. Clients, two price
+// servers, the quota counter and discovery are scripted.
 #pragma once
 
 #include "gateway_fixture.hpp"
@@ -8,38 +8,42 @@
 
 namespace petrelrail::test {
 
-struct Ask {
-  std::string method = "GET", path = "/safe?q=1", id = "a1", cls = "safe", plan = "plain";
+// A client's request; the defaults make a valid one of the class "safe".
+struct RequestSpec {
+  std::string method = "GET", path = "/safe?q=1", id = "a1", class_name = "safe", plan = "plain";
   std::string cookie = "client=00000000b4d65521", timeout = "2000",
-              quota = "units=1,spread=2,first=1", more{}, body{};
+              quota = "units=1,spread=2,first=1", extra_headers{}, body{};
   std::string text() const {
     auto t = method + " " + path + " HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: " + id +
-             "\r\nX-Priority-Class: " + cls + "\r\nX-Plan: " + plan + "\r\nCookie: " + cookie +
-             "\r\nX-Timeout-Ms: " + timeout + "\r\nX-Quota: " + quota + "\r\n" + more;
+             "\r\nX-Priority-Class: " + class_name + "\r\nX-Plan: " + plan +
+             "\r\nCookie: " + cookie + "\r\nX-Timeout-Ms: " + timeout + "\r\nX-Quota: " + quota +
+             "\r\n" + extra_headers;
     if (method != "GET" || !body.empty())
       t += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     return t + "\r\n" + body;
   }
 };
-inline Ask fix() {
+inline RequestSpec keyed_request() {
   return {.method = "POST",
           .path = "/keyed",
-          .cls = "keyed",
-          .more = "Idempotency-Key: k1\r\n",
+          .class_name = "keyed",
+          .extra_headers = "Idempotency-Key: k1\r\n",
           .body = "b"};
 }
-inline Ask notice() { return {.method = "POST", .path = "/unsafe", .cls = "unsafe", .body = "b"}; }
+inline RequestSpec unsafe_request() {
+  return {.method = "POST", .path = "/unsafe", .class_name = "unsafe", .body = "b"};
+}
 
 struct NodeTest : ::testing::Test {
   void start(std::size_t descriptors = 1024) {
     NodeConfig c;
     c.listen = Tcp::endpoint(asio::ip::address_v4::loopback(), 0);
-    c.discovery = agent.at(), c.discovery_host = agent.text(), c.counter = counter.at();
+    c.discovery = agent.endpoint(), c.discovery_host = agent.text(), c.counter = counter.endpoint();
     c.control = c.listen;
     c.descriptors = descriptors, c.seed = 1, c.keep_alive = 30s;
     c.settings.settings = settings();
     c.settings.settings.connect_timeout = 250ms;
-    c.settings.settings.retry_after = advises;
+    c.settings.settings.retry_after = sends_retry_after;
     c.settings.names.zones = {{"a", 0}};
     nlohmann::json members = nlohmann::json::array();
     for (const auto* s : {&server, &second}) {
@@ -62,7 +66,8 @@
     }));
   }
   std::shared_ptr<Wire> client() { return loop.connect(node->listen_address()); }
-  // The status of the next answer; its text is kept.
+  // Waits for the next response and returns its status, or 0 if the connection ended without one.
+  // The response's text is kept in `answer`.
   int status(const std::shared_ptr<Wire>& w) {
     answer.clear();
     loop.until([&] { return !(answer = w->message()).empty() || w->ended; });
@@ -73,41 +78,45 @@
     w->send(text);
     return status(w);
   }
-  int status(const Ask& a) { return status(a.text()); }
-  // What an operator's call is answered, whole.
-  std::string call(const std::string& method, const std::string& target) {
+  int status(const RequestSpec& a) { return status(a.text()); }
+  // Sends a request to the admin listener and returns the complete response.
+  std::string admin_request(const std::string& method, const std::string& target) {
     const auto w = loop.connect(node->admin_listen_address());
     w->send(method + " " + target + " HTTP/1.1\r\nHost: x\r\n\r\n");
     EXPECT_TRUE(loop.until([&] { return w->ended; }));
     return w->in;
   }
-  bool figure(const std::string& line) {
-    return call("GET", "/metrics").find("\n" + line + "\n") != std::string::npos;
+  // True if the metrics contain exactly this line.
+  bool has_metric(const std::string& line) {
+    return admin_request("GET", "/metrics").find("\n" + line + "\n") != std::string::npos;
   }
+  // Answers health checks; records any other request and passes it to `respond`.
   void serve(Wire& w) {
     const auto m = w.message();
     if (m.empty()) return;
     if (m.starts_with("GET /-/healthy")) return w.send(http_answer("200 OK"));
-    seen.push_back(m);
+    received_requests.push_back(m);
     if (respond) respond(w, m);
   }
 
   Loop loop;
-  bool one_server = false, advises = true;
-  std::vector<std::string> seen;  // requests that came to a server
+  bool one_server = false, sends_retry_after = true;
+  // Requests received by either price server, without health checks.
+  std::vector<std::string> received_requests;
   std::string answer;
   std::function<void(Wire&, const std::string&)> respond = [](Wire& w, const std::string&) {
     w.send(http_answer("200 OK", "served"));
   };
-  std::function<std::string()> count = [] { return std::string("ok 2\r\n"); };
+  // The counter's answer to each line but "ping".
+  std::function<std::string()> counter_reply = [] { return std::string("ok 2\r\n"); };
   Peer server{loop.io, [this](Wire& w) { serve(w); }};
   Peer second{loop.io, [this](Wire& w) { serve(w); }};
   Peer counter{loop.io, [this](Wire& w) {
                  for (auto l = w.line(); !l.empty(); l = w.line())
-                   w.send(l == "ping" ? "pong\r\n" : count());
+                   w.send(l == "ping" ? "pong\r\n" : counter_reply());
                }};
   Peer agent{loop.io};
-  NodeConfig config;  // that it was started with
+  NodeConfig config;  // the node was started with this
   std::optional<Node> node;
 };
 
--- a/tests/process_fixture.hpp
+++ b/tests/process_fixture.hpp
@@ -50,7 +50,7 @@
     std::filesystem::remove_all(dir);
   }
   // The program has to be told a port that is free: the system's choice, given back just before.
-  Tcp::endpoint free_port() { return Peer(loop.io).at(); }
+  Tcp::endpoint free_port() { return Peer(loop.io).endpoint(); }
 
   // With further words on the command line; those that name the configuration take the place of
   // GW_CONFIG.
--- a/tests/process_race_test.cpp
+++ b/tests/process_race_test.cpp
@@ -60,7 +60,7 @@
   Peer quiet{loop.io,
              [this](Wire& w) {
                if (w.message().empty()) return;
-               const auto port = std::to_string(other.at().port());
+               const auto port = std::to_string(other.endpoint().port());
                w.send(kHead + chunk(list(2, true,
                                          member("s-00000002", "SERVING", port) + "," +
                                              member("s-00000003", "SERVING", port))));
@@ -133,7 +133,7 @@
     if (!w.message().empty()) w.send(http_answer("200 OK", "served"));
   });
   for (const auto& w : server.wires)
-    w->came = [](Wire& x) {
+    w->on_data = [](Wire& x) {
       if (!x.message().empty()) x.send(http_answer("200 OK", "served"));
     };
   for (const auto& w : out) w->send(http_answer("200 OK", "served"));
@@ -207,7 +207,7 @@
   config["known"]["members"] = json::array();
   run();
   EXPECT_EQ(first_word(), 503);
-  tell(member("s-00000002", "SERVING", std::to_string(server.at().port())));
+  tell(member("s-00000002", "SERVING", std::to_string(server.endpoint().port())));
   EXPECT_TRUE(up());
   const auto w = loop.connect(listen);
   w->send(ProcessTest::ask());
@@ -220,7 +220,7 @@
   members[1]["id"] = "s-00000002";
   run();
   EXPECT_EQ(first_word(), 503);
-  tell(member("s-00000003", "SERVING", std::to_string(server.at().port())));
+  tell(member("s-00000003", "SERVING", std::to_string(server.endpoint().port())));
   EXPECT_TRUE(up());
 }
 
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -153,30 +153,30 @@
 TEST_F(Upgrade, TheNewProcessTakesOverAndTheOldOneFinishes) {
   start(old_control);
   const auto kept = loop.connect(listen);
-  EXPECT_TRUE(asked(kept).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(kept).starts_with("HTTP/1.1 200"));
   answers = false;
   const auto out = loop.connect(listen);
   out->send(ask());
   ASSERT_TRUE(loop.until([&] { return held != nullptr; }));
   answers = true;
   upgrade();
-  EXPECT_EQ(replies(old_control), "1");
+  EXPECT_EQ(success_count(old_control), "1");
   const auto fresh = loop.connect(listen);
-  EXPECT_TRUE(asked(fresh).starts_with("HTTP/1.1 200"));
-  EXPECT_EQ(replies(new_control), "1");  // the new one accepts
-  EXPECT_FALSE(kept->ended);             // told to close, not cut off
-  const auto last = asked(kept);
+  EXPECT_TRUE(response_on(fresh).starts_with("HTTP/1.1 200"));
+  EXPECT_EQ(success_count(new_control), "1");  // the new one accepts
+  EXPECT_FALSE(kept->ended);                   // told to close, not cut off
+  const auto last = response_on(kept);
   EXPECT_TRUE(last.starts_with("HTTP/1.1 200"));
   EXPECT_NE(last.find("Connection: close"), std::string::npos);
-  kill(old, SIGTERM);
+  kill(old_process, SIGTERM);
   held->send(http_answer("200 OK", "served"));
   EXPECT_TRUE(served(out));
   int status = 0;
-  ASSERT_TRUE(loop.until([&] { return waitpid(old, &status, WNOHANG) == old; }));
-  old = 0;
+  ASSERT_TRUE(loop.until([&] { return waitpid(old_process, &status, WNOHANG) == old_process; }));
+  old_process = 0;
   EXPECT_EQ(status, 0);
-  EXPECT_TRUE(asked(fresh).starts_with("HTTP/1.1 200"));
-  EXPECT_TRUE(asked(loop.connect(listen)).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(fresh).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
 }
 // A connection that waits in the queue while one process stops accepting is accepted by the other.
 TEST_F(Upgrade, NoConnectionIsLost) {
@@ -186,7 +186,7 @@
     all.push_back(loop.connect(listen));
     all.back()->send(ask());
   };
-  old = child;
+  old_process = child;
   new_control = free_port();
   config["control"] = "127.0.0.1:" + std::to_string(new_control.port());
   run();
@@ -195,7 +195,7 @@
     return log().find("taken over") != std::string::npos;
   }));
   for (int i = 0; i < 20; ++i) more();
-  kill(old, SIGTERM);
+  kill(old_process, SIGTERM);
   for (int i = 0; i < 20; ++i) more();
   for (const auto& w : all)
     EXPECT_TRUE(loop.until([&] { return !w->in.empty(); }) && w->in.starts_with("HTTP/1.1 "));
@@ -203,23 +203,23 @@
 TEST_F(Upgrade, AServerOutByHandStaysOutAndCallsReachBoth) {
   start(old_control);
   const auto kept = loop.connect(listen), kept_too = loop.connect(listen);
-  EXPECT_TRUE(asked(kept).starts_with("HTTP/1.1 200"));
-  EXPECT_TRUE(asked(kept_too).starts_with("HTTP/1.1 200"));
-  EXPECT_TRUE(call(old_control, "POST", "/price-servers/disable?who=s-00000001")
+  EXPECT_TRUE(response_on(kept).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(kept_too).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(admin_request(old_control, "POST", "/price-servers/disable?who=s-00000001")
                   .starts_with("HTTP/1.1 200"));
   upgrade();
   const auto disabled = [&](const Tcp::endpoint& at, char count) {
-    return call(at, "GET", "/metrics").find(std::string("\nnode_targets_disabled ") + count) !=
-           std::string::npos;
+    return admin_request(at, "GET", "/metrics")
+               .find(std::string("\nnode_targets_disabled ") + count) != std::string::npos;
   };
   EXPECT_TRUE(disabled(new_control, '1'));
-  EXPECT_FALSE(asked(loop.connect(listen)).starts_with("HTTP/1.1 200"));
-  EXPECT_TRUE(call(new_control, "POST", "/price-servers/enable?who=s-00000001")
+  EXPECT_FALSE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(admin_request(new_control, "POST", "/price-servers/enable?who=s-00000001")
                   .starts_with("HTTP/1.1 200"));
-  EXPECT_TRUE(asked(loop.connect(listen)).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
   EXPECT_TRUE(loop.until([&] { return disabled(old_control, '0'); }));
-  EXPECT_TRUE(asked(kept).starts_with("HTTP/1.1 200"));
-  EXPECT_TRUE(call(new_control, "POST", "/price-servers/disable?who=s-00000001")
+  EXPECT_TRUE(response_on(kept).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(admin_request(new_control, "POST", "/price-servers/disable?who=s-00000001")
                   .starts_with("HTTP/1.1 200"));
   EXPECT_TRUE(loop.until([&] { return disabled(old_control, '1'); }));
 }
@@ -227,19 +227,19 @@
   start(old_control);
   upgrade();
   kill(child, SIGKILL), waitpid(child, nullptr, 0);
-  child = std::exchange(old, 0);
-  EXPECT_TRUE(asked(loop.connect(listen)).starts_with("HTTP/1.1 200"));
+  child = std::exchange(old_process, 0);
+  EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
   upgrade();  // and it can be followed again
-  EXPECT_TRUE(asked(loop.connect(listen)).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
 }
 TEST_F(Upgrade, ASocketLeftBehindIsNoPredecessor) {
   std::ofstream(dir / ("petrelrail-" + config["listen"].get<std::string>() + ".sock")) << "x";
   start(old_control);
   kill(child, SIGKILL), waitpid(child, nullptr, 0);
   start(old_control);  // beside the socket of a process that was killed
-  EXPECT_TRUE(asked(loop.connect(listen)).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
   upgrade();
-  EXPECT_TRUE(asked(loop.connect(listen)).starts_with("HTTP/1.1 200"));
+  EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
 }
 // A predecessor that dies half way, says what is not understood, or says nothing: the node starts
 // as usual.
@@ -259,7 +259,7 @@
       if (script != "-") asio::write(peer, asio::buffer(script));
     });
     start(old_control);
-    EXPECT_TRUE(asked(loop.connect(listen)).starts_with("HTTP/1.1 200")) << script;
+    EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200")) << script;
     kill(child, SIGKILL), waitpid(child, nullptr, 0);
     child = 0;
   }
--- a/tests/server_race_test.cpp
+++ b/tests/server_race_test.cpp
@@ -20,7 +20,7 @@
     return text;
   }
   void expect_end(std::size_t which, AttemptOutcome outcome) {
-    ASSERT_TRUE(ended(which + 1));
+    ASSERT_TRUE(wait_for_ends(which + 1));
     EXPECT_EQ(ends[which].outcome, outcome) << which;
   }
 };
@@ -31,44 +31,44 @@
 // the loop tells of that after the next request.
 TEST_F(ServerCrossing, ASecondAnswerThatIsReadAheadIsSeenBeforeTheNextRequestIsWritten) {
   Peer server(loop.io, answer);
-  told = [&] {
-    told = nullptr;
+  on_end = [&] {
+    on_end = nullptr;
     put(*server.wires[0], http_answer("200 OK", "of another"));
     asio::post(loop.io, [this] { send(); });
   };
-  upstream->update_endpoint(kOne, server.at(), true);
+  upstream->update_endpoint(kServer, server.endpoint(), true);
   send();
-  expect_served_on_another(server);
+  expect_served_on_new_connection(server);
   EXPECT_EQ(ends[1].answer.body, "x");
 }
 // A server starts on a request once its last byte has arrived: what it sends before that answers
 // another one.
 TEST_F(ServerCrossing, AnAnswerBeforeItsRequestIsWrittenWholeIsNotItsOwn) {
   Peer server(loop.io, answer);
-  warm(server);
+  make_idle_connection(server);
   const auto upload = std::make_shared<RequestBodyStream>(std::nullopt);
   upload->append("a part");
   server.on({});
-  server.wires[0]->came = nullptr;
-  send(kOne, 10s, upload);
+  server.wires[0]->on_data = nullptr;
+  send(kServer, 10s, upload);
   ASSERT_TRUE(loop.until([&] { return server.wires[0]->in.ends_with("a part\r\n"); }));
   server.wires[0]->send(http_answer("200 OK", "of another"));
   expect_end(1, AttemptOutcome::never_sent);
   EXPECT_EQ(ends[1].answer.body, "");
-  EXPECT_EQ(figures().open, 0u);
+  EXPECT_EQ(stats().open, 0u);
   EXPECT_EQ(written, 1u);
 }
 
 // Once it has done so, what it may send yet finds no request out: its connections rest first.
 TEST_F(ServerCrossing, AServerThatAnsweredOutOfTurnHasItsConnectionsRest) {
   Peer server(loop.io, answer);
-  warm(server);
+  make_idle_connection(server);
   server.wires[0]->send(http_answer("200 OK", "of another"));
-  ASSERT_TRUE(loop.until([&] { return figures().open == 0; }));
-  told = [&] {
-    told = nullptr;
+  ASSERT_TRUE(loop.until([&] { return stats().open == 0; }));
+  on_end = [&] {
+    on_end = nullptr;
     server.on({});
-    server.wires[1]->came = nullptr;
+    server.wires[1]->on_data = nullptr;
     send();  // at once
   };
   send();
@@ -82,7 +82,7 @@
   EXPECT_EQ(ends[2].answer.body, "x");
   // When it has rested it is used again.
   ASSERT_TRUE(passed(timers.now() + limits::kMaxIdleAfterUnsolicitedData));
-  server.wires[2]->came = answer;
+  server.wires[2]->on_data = answer;
   send();
   expect_end(3, AttemptOutcome::ok);
   EXPECT_EQ(server.wires.size(), 3u);
@@ -92,7 +92,7 @@
   for (const bool with_the_first : {true, false}) {
     ends.clear();
     Peer server(loop.io, answer);
-    upstream->update_endpoint(kOne, server.at(), true);
+    upstream->update_endpoint(kServer, server.endpoint(), true);
     if (with_the_first) {
       server.on([](Wire& w) {
         if (!w.message().empty()) w.send(http_answer("200 OK") + http_answer("200 OK"));
@@ -102,17 +102,17 @@
       server.on(answer);
     } else {
       send();
-      ASSERT_TRUE(ended(1));
+      ASSERT_TRUE(wait_for_ends(1));
       put(*server.wires[0], http_answer("200 OK", "of another"));
     }
     send();
     expect_end(1, AttemptOutcome::ok);
-    told = [&] {
-      told = nullptr;
+    on_end = [&] {
+      on_end = nullptr;
       send();  // at once
     };
     send();
-    ASSERT_TRUE(ended(4));
+    ASSERT_TRUE(wait_for_ends(4));
     EXPECT_GE(server.wires.size(), 3u);
   }
 }
@@ -120,10 +120,10 @@
 // that has longest.
 TEST_F(ServerCrossing, TheOneUsedLastOfThoseThatHaveRestedIsTaken) {
   Peer server(loop.io, answer);
-  upstream->update_endpoint(kOne, server.at(), true);
+  upstream->update_endpoint(kServer, server.endpoint(), true);
   PoolStats own;
-  ConnectionPool pool(kOne, own);
-  pool.set_address(server.at(), std::nullopt);
+  ConnectionPool pool(kServer, own);
+  pool.set_address(server.endpoint(), std::nullopt);
   std::vector<ConnectionPool::Connection> made;
   for (std::size_t i = 0; i < 2; ++i) {
     made.push_back(std::make_shared<UpstreamConnection>(*upstream, pool, loop.io));
@@ -131,8 +131,8 @@
     auto m = std::make_shared<ClientRequest>();
     m->method = http::verb::get, m->target = "/read", m->request_id = "r" + std::to_string(i);
     const auto now = timers.now();
-    made[i]->open(server.at(), {RequestId(i), 0, kOne, now, now + 10s, m, {}, {}});
-    ASSERT_TRUE(ended(i + 1));
+    made[i]->open(server.endpoint(), {RequestId(i), 0, kServer, now, now + 10s, m, {}, {}});
+    ASSERT_TRUE(wait_for_ends(i + 1));
   }
   const Time first = made[0]->idle_since(), second = made[1]->idle_since();
   ASSERT_LT(first, second);
@@ -156,21 +156,21 @@
 // as it did.
 TEST_F(ServerCrossing, OneThatWasNotWrittenToAfterAllHasIdledSinceItsLastAnswer) {
   Peer server(loop.io, answer);
-  warm(server);
+  make_idle_connection(server);
   const Time since = timers.now();
   ASSERT_TRUE(passed(since + 50ms));
   int looks = 0;
-  looked = [&](RequestId r) {
-    if (++looks == 2) gone.insert(r);
+  on_wanted_check = [&](RequestId r) {
+    if (++looks == 2) abandoned.insert(r);
   };
   send();
   expect_end(1, AttemptOutcome::never_sent);
-  ASSERT_EQ(figures().idle, 1u);
-  looked = nullptr;
+  ASSERT_EQ(stats().idle, 1u);
+  on_wanted_check = nullptr;
   upstream->set_timeouts(250ms,
                          std::chrono::duration_cast<Duration>(50ms / limits::kIdleTimeoutShare));
   send();
-  ASSERT_TRUE(ended(3));
+  ASSERT_TRUE(wait_for_ends(3));
   EXPECT_EQ(server.wires.size(), 2u);
   EXPECT_EQ(written, 2u);
 }
@@ -180,12 +180,12 @@
   for (const bool told_of : {true, false}) {
     ends.clear();
     Peer server(loop.io, answer);
-    upstream->update_endpoint(kOne, server.at(), true);
+    upstream->update_endpoint(kServer, server.endpoint(), true);
     send();
-    ASSERT_TRUE(ended(1));
+    ASSERT_TRUE(wait_for_ends(1));
     put(*server.wires[0], "HTTP/1.1 2");
     if (told_of) {
-      ASSERT_TRUE(loop.until([&] { return figures().open == 0; }));
+      ASSERT_TRUE(loop.until([&] { return stats().open == 0; }));
     }
     send();
     expect_end(1, AttemptOutcome::ok);
@@ -194,10 +194,10 @@
 }
 TEST_F(ServerCrossing, BytesAsItIsBeingClosedAreForNobody) {
   Peer server(loop.io, answer);
-  warm(server);
+  make_idle_connection(server);
   put(*server.wires[0], http_answer("200 OK", "of another"));
-  upstream->update_endpoint(kOne, server.at(), false);
-  EXPECT_EQ(figures().open, 0u);
+  upstream->update_endpoint(kServer, server.endpoint(), false);
+  EXPECT_EQ(stats().open, 0u);
   ASSERT_TRUE(loop.until([&] { return server.wires[0]->ended; }));
   EXPECT_EQ(ends.size(), 1u);
 }
@@ -207,11 +207,11 @@
   for (const bool read_first : {true, false}) {
     ends.clear(), written = 0;
     Peer server(loop.io, answer);
-    upstream->update_endpoint(kOne, server.at(), true);
+    upstream->update_endpoint(kServer, server.endpoint(), true);
     send();
-    ASSERT_TRUE(ended(1));
+    ASSERT_TRUE(wait_for_ends(1));
     const auto wire = server.wires[0];
-    wire->came = nullptr;
+    wire->on_data = nullptr;
     send();
     if (read_first) {
       ASSERT_TRUE(loop.until([&] { return !wire->in.empty(); }));
@@ -220,7 +220,7 @@
     expect_end(1, AttemptOutcome::reset);
     EXPECT_EQ(written, 2u);
     EXPECT_EQ(server.wires.size(), 1u);
-    EXPECT_EQ(figures().open, 0u);
+    EXPECT_EQ(stats().open, 0u);
   }
 }
 // The connect is up already, and the loop tells of it after what ends the attempt.
@@ -235,33 +235,36 @@
   const std::vector<Case> cases{
       {"given up", [&](Peer&) { upstream->cancel(RequestId(sent), 0); }, AttemptOutcome::cancelled,
        0},
-      {"client gone", [&](Peer&) { gone.insert(RequestId(sent)); }, AttemptOutcome::never_sent, 1},
-      {"drains", [&](Peer& p) { upstream->update_endpoint(kOne, p.at(), false); },
+      {"client gone", [&](Peer&) { abandoned.insert(RequestId(sent)); }, AttemptOutcome::never_sent,
+       1},
+      {"drains", [&](Peer& p) { upstream->update_endpoint(kServer, p.endpoint(), false); },
        AttemptOutcome::never_sent, 0},
       {"gone from the list", [&](Peer&) { upstream->retain_endpoints({}); },
        AttemptOutcome::never_sent, 0},
-      {"out by hand", [&](Peer&) { upstream->set_ejected(kOne, true); }, AttemptOutcome::never_sent,
-       0},
-      {"at another address", [&](Peer&) { upstream->update_endpoint(kOne, other.at(), true); },
+      {"out by hand", [&](Peer&) { upstream->set_ejected(kServer, true); },
+       AttemptOutcome::never_sent, 0},
+      {"at another address",
+       [&](Peer&) { upstream->update_endpoint(kServer, other.endpoint(), true); },
        AttemptOutcome::never_sent, 0},
-      {"began anew", [&](Peer& p) { upstream->update_endpoint(kOne, p.at(), true, Time(1h)); },
+      {"began anew",
+       [&](Peer& p) { upstream->update_endpoint(kServer, p.endpoint(), true, Time(1h)); },
        AttemptOutcome::never_sent, 0},
       {"vanished", [&](Peer& p) { p.stop(); }, AttemptOutcome::connect_failed, 0},
       {"a successor serves",
-       [&](Peer&) { upstream->set_keep_idle(false), gone.insert(RequestId(sent)); },
+       [&](Peer&) { upstream->set_keep_idle(false), abandoned.insert(RequestId(sent)); },
        AttemptOutcome::never_sent, 0}};
   for (const auto& c : cases) {
     ends.clear();
     Peer server(loop.io);
-    upstream->update_endpoint(kOne, server.at(), true);
+    upstream->update_endpoint(kServer, server.endpoint(), true);
     send();
     c.crosses(server);
-    ASSERT_TRUE(ended(1)) << c.what;
+    ASSERT_TRUE(wait_for_ends(1)) << c.what;
     EXPECT_EQ(ends[0].outcome, c.outcome) << c.what;
-    EXPECT_EQ(figures().open, c.kept) << c.what;
-    EXPECT_EQ(figures().connecting, 0u) << c.what;
-    upstream->set_ejected(kOne, false), upstream->set_keep_idle(true);
-    upstream->release_idle(kOne, 0);
+    EXPECT_EQ(stats().open, c.kept) << c.what;
+    EXPECT_EQ(stats().connecting, 0u) << c.what;
+    upstream->set_ejected(kServer, false), upstream->set_keep_idle(true);
+    upstream->release_idle(kServer, 0);
     if (c.outcome != AttemptOutcome::connect_failed) {
       ASSERT_TRUE(loop.until([&] { return !server.wires.empty() && server.wires[0]->ended; }))
           << c.what;
@@ -277,29 +280,29 @@
     while (timers.now() < when) {}
   };
   Peer server(loop.io);
-  upstream->update_endpoint(kOne, server.at(), true);
-  send(kOne, 50ms);
+  upstream->update_endpoint(kServer, server.endpoint(), true);
+  send(kServer, 50ms);
   let_pass(timers.now() + 50ms);
   expect_end(0, AttemptOutcome::never_sent);
   EXPECT_EQ(written, 0u);
-  upstream->release_idle(kOne, 0);
+  upstream->release_idle(kServer, 0);
   ASSERT_TRUE(loop.until([&] { return !server.wires.empty() && server.wires[0]->ended; }));
   EXPECT_EQ(all(server), "");
   server.wires.clear();
 
-  send(kOne, 500ms);
+  send(kServer, 500ms);
   const Time until = timers.now() + 500ms;
   ASSERT_TRUE(loop.until([&] { return !server.wires.empty() && !server.wires[0]->in.empty(); }));
   put(*server.wires[0], http_answer("200 OK", "in time"));
   let_pass(until);
-  ASSERT_TRUE(ended(2));
+  ASSERT_TRUE(wait_for_ends(2));
   loop.io.poll();
   ASSERT_EQ(ends.size(), 2u);
   const bool served = ends[1].outcome == AttemptOutcome::ok;
   EXPECT_TRUE(served || ends[1].outcome == AttemptOutcome::timeout);
-  EXPECT_EQ(figures().open, served ? 1u : 0u);
+  EXPECT_EQ(stats().open, served ? 1u : 0u);
   server.on(answer);
-  server.wires[0]->in.clear(), server.wires[0]->came = answer;
+  server.wires[0]->in.clear(), server.wires[0]->on_data = answer;
   send();
   expect_end(2, AttemptOutcome::ok);
   EXPECT_EQ(ends[2].answer.body, "x");
@@ -308,19 +311,19 @@
 // it too late.
 TEST_F(ServerCrossing, ARepeatWhoseConnectComesUpAfterItsSpanIsNotWritten) {
   Peer server(loop.io, answer);
-  upstream->update_endpoint(kOne, server.at(), true);
+  upstream->update_endpoint(kServer, server.endpoint(), true);
   const auto repeat = [&](Duration left) {
     auto m = std::make_shared<ClientRequest>();
     m->method = http::verb::post, m->target = "/write", m->request_id = "r",
     m->idempotency_key = "k", m->body = "b";
     const auto now = timers.now();
-    upstream->send({RequestId(++sent), 1, kOne, now, now + 10s, m, {}, {}, now + left});
+    upstream->send({RequestId(++sent), 1, kServer, now, now + 10s, m, {}, {}, now + left});
     while (left < 1s && timers.now() < now + left) {}
   };
   repeat(10ms);
   expect_end(0, AttemptOutcome::never_sent);
   EXPECT_EQ(written, 0u);
-  ASSERT_EQ(figures().idle, 1u);  // it is kept, and not begun too late on it either
+  ASSERT_EQ(stats().idle, 1u);  // it is kept, and not begun too late on it either
   repeat(0ms);
   expect_end(1, AttemptOutcome::never_sent);
   repeat(5s);
@@ -330,14 +333,14 @@
 }
 TEST_F(ServerCrossing, AnAnswerToAGivenUpAttemptInTheInstantOfTheNextIsForNobody) {
   Peer server(loop.io);
-  upstream->update_endpoint(kOne, server.at(), true);
+  upstream->update_endpoint(kServer, server.endpoint(), true);
   send();
   ASSERT_TRUE(loop.until([&] { return !all(server).empty(); }));
   server.on(answer);
   put(*server.wires[0], http_answer("200 OK", "late"));
   upstream->cancel(RequestId(1), 0);
   send();
-  ASSERT_TRUE(ended(2));
+  ASSERT_TRUE(wait_for_ends(2));
   EXPECT_EQ(ends[0].outcome, AttemptOutcome::cancelled);
   EXPECT_EQ(ends[1].outcome, AttemptOutcome::ok);
   EXPECT_EQ(ends[1].answer.body, "x");
@@ -357,11 +360,11 @@
     Peer server(loop.io, [&](Wire& w) {
       if (!w.message().empty()) w.send(text);
     });
-    upstream->update_endpoint(kOne, server.at(), true);
-    send(kOne, 2s);
-    ASSERT_TRUE(ended(1));
+    upstream->update_endpoint(kServer, server.endpoint(), true);
+    send(kServer, 2s);
+    ASSERT_TRUE(wait_for_ends(1));
     EXPECT_EQ(ends[0].outcome, AttemptOutcome::reset) << text.substr(0, 70);
-    EXPECT_EQ(figures().open, 0u);
+    EXPECT_EQ(stats().open, 0u);
   }
 }
 // Wherever it breaks, by an end or a reset, nothing of it is told and its connection is of no more
@@ -381,18 +384,18 @@
         if (in_order) return w.send(text, true);
         put(w, text), w.reset();
       });
-      upstream->update_endpoint(kOne, server.at(), true);
+      upstream->update_endpoint(kServer, server.endpoint(), true);
       send();
       expect_end(0, AttemptOutcome::reset);
       EXPECT_EQ(ends[0].answer.body + streamed, "") << text;
-      EXPECT_EQ(figures().open, 0u) << text;
+      EXPECT_EQ(stats().open, 0u) << text;
     }
 }
 // It goes on for as long as the client takes it, and ends with the client; one that nobody is
 // passed has its time.
 TEST_F(ServerCrossing, AnAnswerThatNeverEndsEndsWithItsClientOrItsTime) {
   Peer server(loop.io);
-  upstream->update_endpoint(kOne, server.at(), true);
+  upstream->update_endpoint(kServer, server.endpoint(), true);
   send();
   ASSERT_TRUE(loop.until([&] { return !all(server).empty(); }));
   const auto wire = server.wires[0];
@@ -412,10 +415,10 @@
     server.on([&](Wire& w) {
       if (!w.message().empty()) w.send(text);
     });
-    send(kOne, 100ms);
+    send(kServer, 100ms);
     expect_end(0, AttemptOutcome::timeout);
     EXPECT_EQ(streamed, "");
-    EXPECT_EQ(figures().open, 0u);
+    EXPECT_EQ(stats().open, 0u);
   }
 }
 
--- a/tests/session_race_test.cpp
+++ b/tests/session_race_test.cpp
@@ -16,10 +16,10 @@
   // Without having been sent on, or not sent on once more.
   void expect_left(std::size_t attempts) {
     ASSERT_TRUE(
-        loop.until([&] { return node->open_requests() == 0 && figure("node_concurrent 0"); }));
-    EXPECT_EQ(seen.size(), attempts);
-    EXPECT_EQ(status(Ask{.id = "a9"}), 200);  // others are served
-    EXPECT_EQ(seen.size(), attempts + 1);
+        loop.until([&] { return node->open_requests() == 0 && has_metric("node_concurrent 0"); }));
+    EXPECT_EQ(received_requests.size(), attempts);
+    EXPECT_EQ(status(RequestSpec{.id = "a9"}), 200);  // others are served
+    EXPECT_EQ(received_requests.size(), attempts + 1);
   }
 };
 // The units that a request waits for and its client's close have both come before the loop goes on,
@@ -32,16 +32,17 @@
       if (!w.line().empty()) asked = w.shared_from_this();
     });
     for (const auto& w : counter.wires)
-      w->came = [&](Wire& c) {
+      w->on_data = [&](Wire& c) {
         if (!c.line().empty()) asked = c.shared_from_this();
       };
     const auto w = client();
-    w->send(Ask{.cookie = resets ? "client=0000000000000002" : "client=0000000000000001"}.text());
+    w->send(RequestSpec{.cookie = resets ? "client=0000000000000002" : "client=0000000000000001"}
+                .text());
     ASSERT_TRUE(loop.until([&] { return asked != nullptr; }));
     asio::write(asked->socket, asio::buffer(std::string("ok 1\r\n")));
     resets ? w->reset() : w->close();
     ASSERT_TRUE(loop.until([&] { return node->open_requests() == 0; }));
-    EXPECT_TRUE(seen.empty());
+    EXPECT_TRUE(received_requests.empty());
   }
 }
 // Of a client that has written far ahead nothing more is kept, but it is read on: its close lies
@@ -54,11 +55,11 @@
     w.send(http_answer("200 OK", "served"));
   };
   const auto w = client();
-  asio::write(w->socket, asio::buffer(Ask{.timeout = "3600000"}.text()));
+  asio::write(w->socket, asio::buffer(RequestSpec{.timeout = "3600000"}.text()));
   ASSERT_TRUE(loop.until([&] { return first != nullptr; }));
   asio::write(w->socket, asio::buffer(std::string(400000, 'x')));
   w->close();
-  ASSERT_TRUE(loop.until([&] { return figure("node_sessions 1"); }));  // the test's first one
+  ASSERT_TRUE(loop.until([&] { return has_metric("node_sessions 1"); }));  // the test's first one
   first->send(http_answer("500 Oops"));  // safe to repeat: a further attempt would be made
   expect_left(1);
 }
@@ -72,12 +73,12 @@
       w.send("HTTP/1.1 200 OK\r\n" + std::string(framing) + "\r\n" + std::string(20000, 'x'));
     };
     const auto w = client();
-    w->send(Ask{}.text());
+    w->send(RequestSpec{}.text());
     ASSERT_TRUE(loop.until([&] { return std::ranges::count(w->in, 'x') == 20000; }));
     for (auto* p : {&server, &second})
       for (const auto& c : p->wires) c->reset();
     ASSERT_TRUE(loop.until([&] { return w->ended; }));
-    EXPECT_FALSE(w->broken);
+    EXPECT_FALSE(w->has_error);
     EXPECT_FALSE(w->in.ends_with("\r\n0\r\n\r\n"));
   }
 }
@@ -88,22 +89,22 @@
   std::shared_ptr<Wire> first;
   respond = [&](Wire& w, const std::string&) {
     const auto begun = std::string("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n");
-    if (seen.size() == 2) return w.send(begun + "abc");
+    if (received_requests.size() == 2) return w.send(begun + "abc");
     if (first) return w.send(http_answer("200 OK", "served"));
     first = w.shared_from_this();
     w.send(begun);
   };
   const auto w = client();
-  w->send(Ask{}.text());
+  w->send(RequestSpec{}.text());
   ASSERT_TRUE(loop.until([&] { return first != nullptr; }));
   const auto later = client();  // what is held of its answer passes on after the same time
-  later->send(Ask{.id = "a2"}.text());
+  later->send(RequestSpec{.id = "a2"}.text());
   ASSERT_TRUE(loop.until([&] { return later->in.ends_with("abc"); }));
   first->reset();
   EXPECT_EQ(status(w), 200);
   EXPECT_TRUE(answer.ends_with("served"));
   respond = [](Wire& c, const std::string&) { c.send("HTTP/1.1 200 OK\r\n\r\n"); };
-  EXPECT_GE(status(Ask{.timeout = "400"}), 429);
+  EXPECT_GE(status(RequestSpec{.timeout = "400"}), 429);
 }
 
 struct LingeringClose : NodeTest {
@@ -111,7 +112,7 @@
   std::shared_ptr<Wire> resting() {
     start();
     const auto w = client();
-    w->send(Ask{}.text());
+    w->send(RequestSpec{}.text());
     EXPECT_EQ(status(w), 200);
     node->drain([this] { ended = true; });
     EXPECT_TRUE(loop.until([&] { return w->ended; }));  // its sending side
@@ -123,14 +124,14 @@
 // still on its way.
 TEST_F(LingeringClose, ARequestThatCrossesTheCloseIsNeitherSentOnNorAReset) {
   const auto w = resting();
-  const auto text = Ask{.id = "a2"}.text();
+  const auto text = RequestSpec{.id = "a2"}.text();
   for (const auto& part : {text.substr(0, 1), text.substr(1, 40), text.substr(41), text}) {
     asio::write(w->socket, asio::buffer(part));
     EXPECT_EQ(error_of(*w), 0);
   }
   w->close();
   EXPECT_TRUE(loop.until([&] { return ended; }));
-  EXPECT_EQ(seen.size(), 1u);
+  EXPECT_EQ(received_requests.size(), 1u);
 }
 // It reads on for a bounded time: the node ends though this client neither closes nor stops to
 // write.
@@ -141,7 +142,7 @@
     asio::write(w->socket, asio::buffer(std::string("x")), failed);
     return ended;
   }));
-  EXPECT_EQ(seen.size(), 1u);
+  EXPECT_EQ(received_requests.size(), 1u);
 }
 
 }  // namespace
--- a/tests/watch_race_test.cpp
+++ b/tests/watch_race_test.cpp
@@ -205,7 +205,7 @@
   }
   // The list of the new agent is taken from its first watch, and the old agent is left.
   void expect_moved() {
-    discovery.set_agent(moved.at(), moved.text());
+    discovery.set_agent(moved.endpoint(), moved.text());
     const auto before = asked.size() + questions.size();
     ASSERT_TRUE(wait_for(2));
     EXPECT_EQ(there, std::vector<std::string>{"GET /api/targets?watch=1&from=41 HTTP/1.1"});
@@ -351,7 +351,7 @@
                  w.send(whole(0, member("s-0000000c")));
                }
              }};
-  discovery.set_agent(moved.at(), moved.text());
+  discovery.set_agent(moved.endpoint(), moved.text());
   expect_taken(limits::kReloadNotificationDelay, 0);
 }
 // What a watch says late of a time before the list that came beside it would undo what is known.
@@ -394,7 +394,7 @@
   agent.stop();
   start();
   ASSERT_TRUE(wait_for(&Discovery::Stats::lost, 4));
-  asio::basic_socket_acceptor<Tcp, Executor> acceptor(loop.io.get_executor(), agent.at());
+  asio::basic_socket_acceptor<Tcp, Executor> acceptor(loop.io.get_executor(), agent.endpoint());
   std::shared_ptr<Wire> w;
   acceptor.async_accept([&](const error_code& failed, Socket s) {
     ASSERT_FALSE(failed);
@@ -511,7 +511,7 @@
   int fails = 1, came = 0;
   Discovery other{loop.io,
                   timers,
-                  agent.at(),
+                  agent.endpoint(),
                   agent.text(),
                   {{"a", 0}},
                   [&](EndpointListKind kind, const auto&) {
@@ -535,8 +535,8 @@
 // What is under way when the list ends finds nobody.
 TEST_F(WatchCrossing, ItMayEndWhileConnectionsAreOut) {
   auto other = std::make_unique<Discovery>(
-      loop.io, timers, agent.at(), agent.text(), std::map<std::string, std::uint32_t>{{"a", 0}},
-      [](auto, const auto&) {}, 100ms);
+      loop.io, timers, agent.endpoint(), agent.text(),
+      std::map<std::string, std::uint32_t>{{"a", 0}}, [](auto, const auto&) {}, 100ms);
   other->start(nlohmann::json::parse(list(41, true, member("s-0000000a"))));
   ASSERT_NE(question(2), nullptr);
   other.reset();
