--- a/src/fleet/shadow_coordinator.hpp
+++ b/src/fleet/shadow_coordinator.hpp
@@ -1,6 +1,6 @@
 // Aggregates the statistics of shadow copies over the fleet without a record per node and shard.
 // Nodes form groups; in each group one node per shard, the aggregator, adds up the group's counts
-// and reports to the collectors (docs/shadow.md, "Words"). One object per node and map version;
+// and reports to the collectors (docs/shadow.md, "Reports"). One object per node and map version;
 // does no I/O and reads no clock. The times of reports must not depend on the arm in which an event
 // occurred, as the sequential tests assume that.
 #pragma once
