--- a/tests/agent.hpp
+++ b/tests/agent.hpp
@@ -1,4 +1,4 @@
-// The agent of discovery as a scripted peer, and a Discovery that watches it.
+// Fixture with a scripted discovery agent and a Discovery that watches it.
 #pragma once
 
 #include "discovery.hpp"
@@ -35,12 +35,13 @@
   bool wait_for(std::size_t n) {
     return loop.until([&] { return told.size() >= n; });
   }
-  // The connection of the n-th watch, once its request has come.
+  // Waits for the request of the n-th watch (counted from 1) and returns its connection, or null on
+  // time-out.
   std::shared_ptr<Wire> watch(std::size_t n = 1) {
     if (!loop.until([&] { return asked.size() >= n; })) return nullptr;
     return watches[n - 1];
   }
-  // And of the n-th question for the whole list, beside a watch.
+  // The same for the n-th poll, which is sent on a connection separate from the watch.
   std::shared_ptr<Wire> question(std::size_t n = 1) {
     if (!loop.until([&] { return questions.size() >= n; })) return nullptr;
     return questions[n - 1];
@@ -61,7 +62,7 @@
   Loop loop;
   Clock clock;
   Timers timers{loop.io, clock};
-  std::vector<std::string> asked;  // request lines of watches, and any that are no questions
+  std::vector<std::string> asked;  // request lines of watches and of everything but polls
   std::vector<std::shared_ptr<Wire>> watches, questions;
   std::function<void(Wire&)> on_watch, on_question;
   std::vector<Update> told;
--- a/tests/race_fixture.hpp
+++ b/tests/race_fixture.hpp
@@ -1,4 +1,5 @@
-// The real program with a control address, and what tests of crossing troubles ask it.
+// Fixture that runs the real program with a control address, for tests in which two faults or
+// events coincide.
 #pragma once
 
 #include "process_fixture.hpp"
@@ -10,7 +11,8 @@
     control = free_port();
     config["control"] = "127.0.0.1:" + std::to_string(control.port());
   }
-  // All that is answered to the words on a connection of their own, once it has ended.
+  // Sends the text to the control address on a new connection and returns everything received until
+  // the program closes it.
   std::string call(const std::string& words) {
     const auto w = loop.connect(control);
     w->send(words);
@@ -25,7 +27,8 @@
     const auto begin = at + name.size() + 2;
     return text.substr(begin, text.find('\n', begin) - begin);
   }
-  // The program's sockets; what it may have inherited beside its log is none.
+  // Returns the number of sockets the program has open. Inherited descriptors other than its log
+  // are not sockets and are not counted.
   std::size_t sockets() const {
     std::size_t n = 0;
     for (const auto& fd :
@@ -41,7 +44,7 @@
     words.replace(words.find("2000"), 4, timeout);
     return words.replace(words.find("0000000000000007"), 16, customer);
   }
-  // The status of the next answer; 0: the connection has ended without one.
+  // Returns the status of the next answer, or 0 if the connection ended without one.
   int answered(const std::shared_ptr<Wire>& w) {
     EXPECT_TRUE(
         loop.until([&] { return w->in.find("\r\n\r\n") != std::string::npos || w->ended; }));
