--- a/tests/server_race_test.cpp
+++ b/tests/server_race_test.cpp
@@ -1,6 +1,7 @@
-// Connections to price servers where two events cross: an answer and the next request, a close and
-// a write, a connect and the end of what it was for. Each order is forced: what crosses is in the
-// socket before the loop goes on.
+// Tests of connections to price servers when two events coincide: an answer and the next request, a
+// close and a write, a completed connect and the end of its attempt. They guard against answers
+// given to the wrong request and requests written twice or too late. Each order is forced: the
+// second event is in the socket before the loop continues.
 #include "connection_pool_fixture.hpp"
 #include "limits.hpp"
 
@@ -8,12 +9,12 @@
 namespace {
 
 struct ServerCrossing : PoolTest {
-  // Into the socket at once, before the loop goes on.
+  // Writes into the socket immediately, before the loop continues.
   static void put(Wire& w, const std::string& text) { asio::write(w.socket, asio::buffer(text)); }
   bool passed(Time when) {
     return loop.until([&] { return timers.now() >= when; });
   }
-  // What has been read so far on all of a server's connections.
+  // Returns the text read so far on all of a server's connections.
   static std::string all(const Peer& server) {
     std::string text;
     for (const auto& w : server.wires) text += w->in;
@@ -27,8 +28,8 @@
 
 // ---- A second answer, some time after the first -------------------------------------------------
 
-// It comes while the first one is being told; the system serves the next read with it at once, and
-// the loop tells of that after the next request.
+// The second answer arrives in the callback for the first one. The system completes the next read
+// with it at once, but the loop reports that only after the next request.
 TEST_F(ServerCrossing, ASecondAnswerThatIsReadAheadIsSeenBeforeTheNextRequestIsWritten) {
   Peer server(loop.io, answer);
   on_end = [&] {
@@ -41,8 +42,8 @@
   expect_served_on_new_connection(server);
   EXPECT_EQ(ends[1].answer.body, "x");
 }
-// A server starts on a request once its last byte has arrived: what it sends before that answers
-// another one.
+// A server processes a request only after its last byte has arrived, so an answer sent before that
+// belongs to another request.
 TEST_F(ServerCrossing, AnAnswerBeforeItsRequestIsWrittenWholeIsNotItsOwn) {
   Peer server(loop.io, answer);
   make_idle_connection(server);
@@ -59,7 +60,8 @@
   EXPECT_EQ(written, 1u);
 }
 
-// Once it has done so, what it may send yet finds no request out: its connections rest first.
+// After unsolicited data a server may send more of it. Its connections must stay idle for a time
+// before reuse, so that such data arrives while no request is in flight.
 TEST_F(ServerCrossing, AServerThatAnsweredOutOfTurnHasItsConnectionsRest) {
   Peer server(loop.io, answer);
   make_idle_connection(server);
@@ -80,14 +82,15 @@
   answer(*server.wires[2]);
   expect_end(2, AttemptOutcome::ok);
   EXPECT_EQ(ends[2].answer.body, "x");
-  // When it has rested it is used again.
+  // After that idle time the connection is reused.
   ASSERT_TRUE(passed(timers.now() + limits::kMaxIdleAfterUnsolicitedData));
   server.wires[2]->on_data = answer;
   send();
   expect_end(3, AttemptOutcome::ok);
   EXPECT_EQ(server.wires.size(), 3u);
 }
-// Also where the second answer lies behind the first one, or is found by the look before a write.
+// The same holds if the second answer directly follows the first one, or is found by the check
+// before a write.
 TEST_F(ServerCrossing, HoweverASecondAnswerIsFoundTheConnectionsRest) {
   for (const bool with_the_first : {true, false}) {
     ends.clear();
@@ -116,8 +119,8 @@
     EXPECT_GE(server.wires.size(), 3u);
   }
 }
-// Without a cause none is opened for it: of those that have rested the one used last, else the one
-// that has longest.
+// The preference alone opens no new connection: the pool takes the most recently used connection
+// that has been idle long enough, else the one that has been idle longest.
 TEST_F(ServerCrossing, TheOneUsedLastOfThoseThatHaveRestedIsTaken) {
   Peer server(loop.io, answer);
   upstream->update_endpoint(kServer, server.endpoint(), true);
@@ -152,8 +155,8 @@
 
 // ---- Between choice and write -------------------------------------------------------------------
 
-// Its client went in the last instant: nothing was written, and to the server the connection idles
-// as it did.
+// The client left just before the write. Nothing was written, so for the server the connection has
+// been idle since its last answer.
 TEST_F(ServerCrossing, OneThatWasNotWrittenToAfterAllHasIdledSinceItsLastAnswer) {
   Peer server(loop.io, answer);
   make_idle_connection(server);
@@ -175,7 +178,7 @@
   EXPECT_EQ(written, 2u);
 }
 
-// Half a line of an answer while it rests, told by the loop or not yet.
+// Part of an answer's line arrives on an idle connection; the loop has reported it or not yet.
 TEST_F(ServerCrossing, HalfALineThatComesWhileItRestsEndsIt) {
   for (const bool told_of : {true, false}) {
     ends.clear();
@@ -201,8 +204,8 @@
   ASSERT_TRUE(loop.until([&] { return server.wires[0]->ended; }));
   EXPECT_EQ(ends.size(), 1u);
 }
-// The look before the write found nothing, and then the server closed: it may have run, and is
-// written once.
+// The server closes after the check before the write found nothing. The request may have run and is
+// written only once.
 TEST_F(ServerCrossing, ACloseThatCrossesTheRequestIsAReset) {
   for (const bool read_first : {true, false}) {
     ends.clear(), written = 0;
@@ -223,7 +226,7 @@
     EXPECT_EQ(stats().open, 0u);
   }
 }
-// The connect is up already, and the loop tells of it after what ends the attempt.
+// The connect has completed, but the loop reports it after the event that ends the attempt.
 TEST_F(ServerCrossing, AConnectThatComesUpForNothingIsNotWrittenTo) {
   struct Case {
     std::string what;
@@ -273,8 +276,9 @@
     EXPECT_EQ(written, 0u) << c.what;
   }
 }
-// The time is over and the connect up, or the answer there, before the loop goes on: one outcome,
-// and what is left of the connection is no trap for the next attempt.
+// The deadline passes and the connect completes, or the answer arrives, before the loop continues.
+// The attempt has exactly one outcome, and the connection's remaining state does not affect the
+// next attempt.
 TEST_F(ServerCrossing, TheLastInstantOfADeadline) {
   const auto let_pass = [&](Time when) {
     while (timers.now() < when) {}
@@ -307,8 +311,8 @@
   expect_end(2, AttemptOutcome::ok);
   EXPECT_EQ(ends[2].answer.body, "x");
 }
-// A repeat is worth its key's memory until its first byte: the connect is up, and the loop tells of
-// it too late.
+// The first byte of a repeat must be written while its idempotency key is still remembered. Here
+// the connect completes in time, but the loop reports it too late.
 TEST_F(ServerCrossing, ARepeatWhoseConnectComesUpAfterItsSpanIsNotWritten) {
   Peer server(loop.io, answer);
   upstream->update_endpoint(kServer, server.endpoint(), true);
@@ -323,7 +327,7 @@
   repeat(10ms);
   expect_end(0, AttemptOutcome::never_sent);
   EXPECT_EQ(written, 0u);
-  ASSERT_EQ(stats().idle, 1u);  // it is kept, and not begun too late on it either
+  ASSERT_EQ(stats().idle, 1u);  // kept; a repeat that is too late is not written on it either
   repeat(0ms);
   expect_end(1, AttemptOutcome::never_sent);
   repeat(5s);
@@ -346,9 +350,9 @@
   EXPECT_EQ(ends[1].answer.body, "x");
 }
 
-// ---- Answers that break, and that never end -----------------------------------------------------
+// ---- Answers that are cut short or never end ----------------------------------------------------
 
-// A line of chunks or a trailer without an end is no answer, and not kept.
+// A chunk line or trailer without an end is not an answer, and it is not stored.
 TEST_F(ServerCrossing, ALineThatNeverEndsIsNoAnswer) {
   const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const std::string long_line(2 * limits::kMaxHeaderBytes, 'x');
@@ -367,8 +371,8 @@
     EXPECT_EQ(stats().open, 0u);
   }
 }
-// Wherever it breaks, by an end or a reset, nothing of it is told and its connection is of no more
-// use.
+// Wherever an answer is cut short, by a close or a reset, none of it is passed on, and its
+// connection is not reused.
 TEST_F(ServerCrossing, AnAnswerThatBreaksIsAReset) {
   const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const std::string& text :
@@ -391,8 +395,8 @@
       EXPECT_EQ(stats().open, 0u) << text;
     }
 }
-// It goes on for as long as the client takes it, and ends with the client; one that nobody is
-// passed has its time.
+// An endless answer continues while the client reads it and ends when the client leaves. One that
+// is not passed on to a client ends at its deadline.
 TEST_F(ServerCrossing, AnAnswerThatNeverEndsEndsWithItsClientOrItsTime) {
   Peer server(loop.io);
   upstream->update_endpoint(kServer, server.endpoint(), true);
--- a/tests/watch_race_test.cpp
+++ b/tests/watch_race_test.cpp
@@ -1,12 +1,13 @@
-// The list of servers where a fault of the agent crosses another event: what it holds is learned in
-// time at any phase.
+// Tests of the endpoint list when a fault of the discovery agent coincides with another event. They
+// guard against a list that stays out of date longer than the limits allow because the agent fails
+// at an unfavourable moment.
 #include "agent.hpp"
 
 namespace petrelrail::test {
 namespace {
 
-// The sums that PROTOCOL bounds stand as static_asserts beside the limits, in limits.hpp. Here: the
-// sites' graces.
+// Checks the agent limits derived from a site's drain grace. The sums that PROTOCOL bounds are
+// checked by static_asserts next to the limits, in limits.hpp.
 constexpr bool fits(Duration grace) {
   const auto limits = limits::agent_limits(grace);
   return limits.poll_interval + limits.max_reconnect_delay < grace &&
@@ -23,17 +24,17 @@
     return loop.until([&] { return discovery.stats().*figure >= n; });
   }
   using DiscoveryTest::wait_for;
-  // What has come is read, as far as it has come.
+  // Reads everything that has been received so far, without waiting for more.
   void settle() {
     for (int i = 0; i < 4; ++i) loop.io.restart(), loop.io.poll();
   }
-  // Runs the loop for a time on the clock of the watch.
+  // Runs the loop for the given time, measured on the clock that the watch uses.
   bool pass(Duration time) {
     bool passed = false;
     timers.after(time, [&] { passed = true; });
     return loop.until([&] { return passed; });
   }
-  // Sends one byte after the other without an end, on the same clock.
+  // Sends one byte at a time until the connection ends, timed by the same clock.
   void dribble(const std::shared_ptr<Wire>& w, char c) {
     if (w->ended) return;
     w->send(chunk({c}));
@@ -44,7 +45,7 @@
   }
 };
 
-// ---- A watch that says nothing whole ------------------------------------------------------------
+// ---- A watch without a complete line ------------------------------------------------------------
 
 TEST_F(WatchCrossing, BesideAWatchWithItsHeadAloneTheListIsAskedFor) {
   on_watch = [](Wire& w) { w.send(kHead); };
@@ -55,7 +56,7 @@
   ASSERT_TRUE(wait_for(2));
   EXPECT_EQ(told[1].kind, EndpointListKind::full);
   EXPECT_EQ(discovery.revision(), 50U);
-  // The watch stays, and what it says later is taken. Once it has, no question goes out.
+  // The watch is kept and its later changes are applied. After that no more polls are sent.
   EXPECT_FALSE(watches[0]->ended);
   watches[0]->send(chunk(list(51, false, member("s-0000000b", "DRAINING")) + "\n"));
   ASSERT_TRUE(wait_for(3));
@@ -64,7 +65,7 @@
   EXPECT_EQ(discovery.stats().polls, asked_before);
   EXPECT_EQ(discovery.stats().watches, 1U);
 }
-// An agent that has nothing to tell may say so 2 s after the head: its watch is kept.
+// An agent without changes may send its first empty line 2 s after the head. Its watch is kept.
 TEST_F(WatchCrossing, AnAgentWhoseFirstLineIsEmptyAndLateKeepsItsWatch) {
   start();
   watch()->send(kHead);
@@ -92,14 +93,14 @@
 TEST_F(WatchCrossing, BytesWithoutAnEndDoNotKeepAWatch) {
   start();
   watch()->send(kHead + chunk("{"));
-  dribble(watches[0], ' ');  // half a list
+  dribble(watches[0], ' ');  // an incomplete list
   ASSERT_NE(watch(2), nullptr);
   watches[1]->send(kHead + chunk("\n"));
-  dribble(watches[1], ' ');  // half an empty line, after a whole one
+  dribble(watches[1], ' ');  // an incomplete empty line after a complete one
   ASSERT_NE(watch(3), nullptr);
-  EXPECT_EQ(discovery.stats().lost + discovery.stats().unreadable, 0U);  // for silence, both
+  EXPECT_EQ(discovery.stats().lost + discovery.stats().unreadable, 0U);  // both ended for silence
 }
-// Also where every watch is silent after its head, what the agent holds comes with the questions.
+// If no watch delivers the list, polls still fetch the agent's list.
 TEST_F(WatchCrossing, WhereEveryWatchIsRefusedTheListIsStillLearned) {
   on_watch = [](Wire& w) { w.send(http_answer("503 Service Unavailable")); };
   on_question = [](Wire& w) { w.send(whole(50 + 1, member("s-0000000b"))); };
@@ -120,7 +121,7 @@
   EXPECT_EQ(discovery.revision(), 51U);
 }
 
-// ---- The grace of the site ----------------------------------------------------------------------
+// ---- The site's drain grace ---------------------------------------------------------------------
 
 TEST_F(WatchCrossing, LimitsFollowTheGraceAlsoAtHangUp) {
   EXPECT_EQ(discovery.limits().poll_interval, 500ms);
@@ -132,14 +133,14 @@
   EXPECT_EQ(discovery.limits().poll_interval, limits::kAgentTimeout);
   EXPECT_EQ(discovery.limits().max_reconnect_delay, limits::kMaxWatchReconnectDelay);
 }
-// The next question goes out beside the one before it, which may still be answered.
+// The next poll is sent while the previous one is in flight, which may still be answered.
 TEST_F(WatchCrossing, QuestionsGoOutBesideAnAgentThatIsSilent) {
   discovery.set_drain_grace(150ms);
   start();
   ASSERT_TRUE(wait_for(&Discovery::Stats::polls, 1));
   EXPECT_EQ(discovery.stats().silent, 0U);
   EXPECT_EQ(discovery.stats().watches, 1U);
-  // Any of those that are open may be the one that is answered: here the oldest.
+  // Any open poll may be answered; here it is the oldest.
   ASSERT_NE(watch(), nullptr);
   watches[0]->send(kHead + chunk(list(50, true, member("s-0000000b")) + "\n"));
   ASSERT_TRUE(wait_for(2));
@@ -151,9 +152,9 @@
   start();
   discovery.set_drain_grace(100ms);
   ASSERT_TRUE(wait_for(&Discovery::Stats::polls, 1));
-  EXPECT_EQ(discovery.stats().silent, 0U);  // the watch, which came before, has its 500 ms
+  EXPECT_EQ(discovery.stats().silent, 0U);  // the watch, which started earlier, has its 500 ms
 }
-// Slower than the time between two questions, and quick enough for the limit of one.
+// The agent answers more slowly than the poll interval, but within the time-out of one poll.
 TEST_F(WatchCrossing, ASlowAgentIsHeard) {
   discovery.set_drain_grace(80ms);
   on_question = [this](Wire& w) {
@@ -172,9 +173,10 @@
   settle();
   EXPECT_LE(
       std::ranges::count_if(agent.wires, [](const auto& w) { return !w->ended; }),
-      static_cast<long>(limits::kMaxAgentConnections) + 1);  // one of these may just be coming
+      static_cast<long>(limits::kMaxAgentConnections) + 1);  // one of them may just be connecting
 }
-// An empty line as well says that all is well: what came before it lengthens no pause after it.
+// An empty line also shows that the watch works: failures before it do not lengthen the reconnect
+// delay after it.
 TEST_F(WatchCrossing, AnEmptyLineEndsThePausesGrowth) {
   on_watch = [this](Wire& w) {
     if (watches.size() < 5) return w.reset();
@@ -192,7 +194,7 @@
   EXPECT_FALSE(late);
 }
 
-// ---- SIGHUP moves discovery ---------------------------------------------------------------------
+// ---- SIGHUP changes the agent's address ---------------------------------------------------------
 
 struct WatchMoves : WatchCrossing {
   WatchMoves() {
@@ -203,7 +205,7 @@
       w.send(kHead + chunk(list(50, true, member("s-0000000b")) + "\n"));
     });
   }
-  // The list of the new agent is taken from its first watch, and the old agent is left.
+  // Expects the list from the new agent's first watch and no further requests to the old agent.
   void expect_moved() {
     discovery.set_agent(moved.endpoint(), moved.text());
     const auto before = asked.size() + questions.size();
@@ -214,7 +216,7 @@
         [&] { return std::ranges::all_of(agent.wires, [](auto& w) { return w->ended; }); }));
     EXPECT_EQ(asked.size() + questions.size(), before);
     ASSERT_TRUE(pass(2 * discovery.limits().poll_interval));
-    EXPECT_EQ(there.size(), 1U);  // nothing is left that would ask once more
+    EXPECT_EQ(there.size(), 1U);  // no pending timer sends another request
     EXPECT_EQ(told.size(), 2U);
   }
   std::vector<std::string> there;
@@ -250,7 +252,7 @@
   start();
   watch()->send(kHead + chunk(list(60, true, member("s-0000000b")) + "\n"));
   ASSERT_TRUE(wait_for(2));
-  watches[0]->reset();  // the agent ends, and comes back knowing less
+  watches[0]->reset();  // the agent restarts with a lower revision
   watch(2)->send(kHead + chunk(list(7, true, member("s-0000000c")) + "\n"));
   ASSERT_TRUE(wait_for(3));
   EXPECT_EQ(asked[1], "GET /api/targets?watch=1&from=60 HTTP/1.1");
@@ -259,10 +261,11 @@
   ASSERT_NE(watch(3), nullptr);
   EXPECT_EQ(asked[2], "GET /api/targets?watch=1&from=7 HTTP/1.1");
 }
-// The agent comes back with a lower version than is held, and tells of it in one of the ways that
-// there are: what it holds is taken, whatever the version, within the limits on a silent watch.
+// The agent restarts with a lower revision than the edge node holds, and each test reports it in
+// another way. The agent's list is applied whatever its revision, within the limits on a silent
+// watch.
 struct VersionsThatGoBack : WatchCrossing {
-  // Version 60 is held, with the server b; the agent that is back holds c alone under a lower one.
+  // Revision 60 with server b is held; the restarted agent holds only c, with a lower revision.
   void held() {
     start();
     watch()->send(kHead + chunk(list(60, true, member("s-0000000b")) + "\n"));
@@ -278,7 +281,7 @@
     ASSERT_EQ(told[2].entries.size(), 1U);
     EXPECT_EQ(told[2].entries[0].info.id, EndpointId(12));
     EXPECT_EQ(discovery.revision(), static_cast<std::uint64_t>(revision));
-    // From here on all is as ever: changes are taken, and nothing is asked any more.
+    // Normal operation resumes: changes are applied, and no more polls or watches are started.
     const auto watches_before = discovery.stats().watches, asked_before = discovery.stats().polls;
     watches.back()->send(chunk(list(revision + 1, false, member("s-0000000d")) + "\n"));
     ASSERT_TRUE(wait_for(4));
@@ -315,8 +318,8 @@
   watches[0]->send(chunk(list(5, false, member("s-0000000a")) + "\n"));
   expect_taken(limits::kDiscoveryNotificationDelay);
 }
-// Between the question and its answer the agent goes on: an answer from before a line that was
-// passed over is not taken.
+// The agent's list changes between a poll and its answer. An answer older than a watch line that
+// was skipped is not applied.
 TEST_F(VersionsThatGoBack, WhileTheWholeListIsAskedFor) {
   ASSERT_NO_FATAL_FAILURE(held());
   watches[0]->send(chunk(list(5, false, member("s-0000000a")) + "\n"));
@@ -328,7 +331,7 @@
   second->send(whole(6, member("s-0000000c")));
   expect_taken(limits::kDiscoveryNotificationDelay, 6);
 }
-// The agent is silent, and refuses the question at first: it is asked again.
+// The agent is silent on the watch and refuses the first polls; polling is repeated.
 TEST_F(VersionsThatGoBack, WhereTheFirstQuestionsAreLost) {
   ASSERT_NO_FATAL_FAILURE(held());
   on_watch = [](Wire& w) { w.send(kHead + chunk("\n")); };
@@ -339,7 +342,8 @@
   watches[0]->reset();
   expect_taken(limits::kDiscoveryNotificationDelay);
 }
-// Moved by SIGHUP to an agent that holds less: an empty line alone, or nothing at all.
+// SIGHUP changes the address to that of an agent with a lower revision, which sends only an empty
+// line or nothing at all.
 TEST_F(VersionsThatGoBack, AtAnAgentThatDiscoveryMovedTo) {
   ASSERT_NO_FATAL_FAILURE(held());
   Peer moved{loop.io, [this](Wire& w) {
@@ -354,7 +358,7 @@
   discovery.set_agent(moved.endpoint(), moved.text());
   expect_taken(limits::kReloadNotificationDelay, 0);
 }
-// What a watch says late of a time before the list that came beside it would undo what is known.
+// A late change on the watch that is older than a polled list would revert that list.
 TEST_F(WatchCrossing, ChangesThatAListBesideHasOvertakenArePassedOver) {
   on_watch = [](Wire& w) { w.send(kHead); };
   start();
@@ -366,7 +370,7 @@
   EXPECT_EQ(told[2].entries.at(0).info.id, EndpointId(11));
   EXPECT_EQ(discovery.revision(), 61U);
   EXPECT_EQ(discovery.stats().watches, 1U);
-  // A whole list is taken, whatever its version.
+  // A full list is applied whatever its revision.
   watches[0]->send(chunk(list(7, true, member("s-0000000c")) + "\n"));
   ASSERT_TRUE(wait_for(4));
   EXPECT_EQ(discovery.revision(), 7U);
@@ -387,9 +391,9 @@
   EXPECT_EQ(discovery.stats().watches, 1U);
 }
 
-// ---- From the first moment, and what can't be read ----------------------------------------------
+// ---- Start-up and unreadable answers ------------------------------------------------------------
 
-// Nothing listens at the start; later the agent does, and is asked without a word from anybody.
+// Nothing listens at the start. Once the agent listens, Discovery connects without any trigger.
 TEST_F(WatchCrossing, AnAgentThatIsDownAtTheStartIsFound) {
   agent.stop();
   start();
@@ -423,15 +427,15 @@
   on_watch = [&](Wire& w) { w.send(bad.at(std::min(watches.size(), bad.size()) - 1)); };
   on_question = [&](Wire& w) {
     w.send(kHead + chunk(list(50, false, member("s-0000000b"))));
-  };  // not whole
+  };  // not a full list
   start();
   ASSERT_NE(watch(bad.size() + 1), nullptr);
   EXPECT_GE(discovery.stats().unreadable, bad.size());
   EXPECT_EQ(told.size(), 1U);
   EXPECT_EQ(discovery.revision(), 41U);
 }
-// Lists that can't be read whole: what is good in them is told, the version stays, and what they
-// said is asked for again.
+// Lists with malformed parts: valid members are passed to the callback, the revision stays, and the
+// same changes are requested again.
 struct MalformedLists : WatchCrossing {
   using Kind = std::uint64_t Discovery::Stats::*;
   static std::string with(const std::string& key, const std::string& value) {
@@ -439,12 +443,12 @@
     if (value.empty()) return m.erase(key), m.dump();
     return m[key] = nlohmann::json::parse(value), m.dump();
   }
-  // Of each kind one, in turn: as changes and as a whole list, on the watch.
+  // Sends each malformed line (changes or full list) on a watch of its own.
   void each(const std::vector<std::string>& bad, Kind kind, std::size_t told_each) {
     on_watch = [&](Wire& w) {
       if (watches.size() <= bad.size()) w.send(kHead + chunk(bad[watches.size() - 1] + "\n\n"));
     };
-    discovery.set_drain_grace(80ms);  // short pauses
+    discovery.set_drain_grace(80ms);  // short reconnect delays
     start();
     ASSERT_NE(watch(bad.size() + 1), nullptr);
     for (const auto& line : asked) EXPECT_EQ(line, "GET /api/targets?watch=1&from=41 HTTP/1.1");
@@ -454,11 +458,11 @@
     ASSERT_EQ(told.size(), 1 + told_each * bad.size());
     for (std::size_t i = 1; i < told.size(); ++i) {
       EXPECT_EQ(told[i].kind, EndpointListKind::delta)
-          << i;  // also of a whole list: it does not say who has gone
+          << i;  // also for a full list: a malformed one can't show which members left
       ASSERT_EQ(told[i].entries.size(), 1U) << i;
       EXPECT_EQ(told[i].entries[0].info.id, EndpointId(12)) << i;
     }
-    // What the agent says next is taken as ever.
+    // The agent's next list is applied as usual.
     watches.back()->send(kHead + chunk(list(60, true, member("s-0000000b")) + "\n"));
     ASSERT_TRUE(wait_for(told.size() + 1));
     EXPECT_EQ(discovery.revision(), 60U);
@@ -506,7 +510,7 @@
   bad.push_back(good.substr(1));
   each(bad, &Discovery::Stats::bad_documents, 0);
 }
-// Telling may fail half way: it is told again with the next list.
+// The callback may throw before it has applied a list. The list is requested and delivered again.
 TEST_F(MalformedLists, AListThatCouldNotBeToldIsAskedForAgain) {
   int fails = 1, came = 0;
   Discovery other{loop.io,
@@ -525,14 +529,14 @@
   EXPECT_EQ(asked, std::vector<std::string>(2, "GET /api/targets?watch=1&from=41 HTTP/1.1"));
   EXPECT_EQ(other.revision(), 50U);
 }
-// What was known at the start may be malformed as well: then the whole list is asked for.
+// The list known at the start may be malformed too. Then the full list is requested.
 TEST_F(MalformedLists, AKnownListWithABadMemberIsAskedForWhole) {
   start(list(41, true, "{}," + member("s-0000000c")));
   ASSERT_NE(watch(), nullptr);
   EXPECT_EQ(told.at(0).entries.size(), 1U);
   EXPECT_EQ(asked[0], "GET /api/targets?watch=1&from=0 HTTP/1.1");
 }
-// What is under way when the list ends finds nobody.
+// Operations in flight when Discovery is destroyed must not access it.
 TEST_F(WatchCrossing, ItMayEndWhileConnectionsAreOut) {
   auto other = std::make_unique<Discovery>(
       loop.io, timers, agent.endpoint(), agent.text(),
