--- a/tests/attempt_race_test.cpp
+++ b/tests/attempt_race_test.cpp
@@ -1,12 +1,13 @@
-// From one attempt of a request to the next, through the whole node: what may be sent again, and
-// when. Each order is forced: the first attempt waits at a server until the test lets it break.
+// Tests of retries through the whole node: which requests may be sent again, and when. They guard
+// against a request that runs twice. Each order is forced: the first attempt waits at a server
+// until the test makes it fail.
 #include "node_fixture.hpp"
 
 namespace petrelrail::test {
 namespace {
 
 struct AttemptCrossing : NodeTest {
-  // A request whose first attempt has come to a server and waits there.
+  // Sends a request and returns its client connection once the first attempt waits at a server.
   std::shared_ptr<Wire> asked(const RequestSpec& a) {
     respond = [this](Wire& w, const std::string&) {
       if (!first) first = w.shared_from_this();
@@ -25,8 +26,8 @@
   }
   std::shared_ptr<Wire> first;
 };
-// What may have run is not sent again, in whatever way the first attempt breaks, nor called
-// harmless to try again.
+// An unsafe request that may have run is not sent again, however its first attempt fails, and the
+// answer does not say that it is safe to retry.
 TEST_F(AttemptCrossing, AnUnsafeOneThatMayHaveRunIsSentOnce) {
   const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   start();
@@ -43,8 +44,8 @@
     EXPECT_EQ(status(RequestSpec{}), 200);
   }
 }
-// The first attempt's connection is closed before the second is written, though the server still
-// holds it open.
+// The first attempt's connection is closed before the second attempt is written, although the
+// server still holds it open.
 TEST_F(AttemptCrossing, TwoAttemptsAreNeverOutAtOnce) {
   start();
   const auto w = asked(RequestSpec{});
@@ -56,7 +57,7 @@
   EXPECT_EQ(status(w), 200);
   EXPECT_EQ(received_requests.size(), 2u);
 }
-// What began under the old rules goes on under them.
+// A request in flight during a reload keeps the configuration it started with.
 TEST_F(AttemptCrossing, AReloadThatMakesTheClassUnsafeLeavesWhatIsOutAsItWas) {
   start();
   const auto w = asked(RequestSpec{});
@@ -77,8 +78,8 @@
   EXPECT_EQ(received_requests.size(), 1u);
 }
 
-// Clients turn to a new configuration in a while: until then requests come in the form of before,
-// under its rules.
+// Clients adopt a new configuration with a delay. Until then requests in the previous form are
+// accepted under its rules.
 TEST_F(AttemptCrossing, AReloadThatChangesAnEffectTakesTheFormsOfNowAndOfBefore) {
   start();
   reload(0, Idempotency::non_idempotent);
@@ -93,7 +94,8 @@
     EXPECT_EQ(s == 200, attempts == 2U) << s;
     EXPECT_EQ(received_requests.size(), attempts);
   }
-  EXPECT_EQ(status(RequestSpec{.extra_headers = "Idempotency-Key: k1\r\n"}), 405);  // of neither
+  EXPECT_EQ(status(RequestSpec{.extra_headers = "Idempotency-Key: k1\r\n"}),
+            405);  // valid in neither form
   reload(0, Idempotency::idempotent);
   EXPECT_EQ(status(before), 200);
   EXPECT_EQ(status(now), 200);
--- a/tests/hot_restart_race_test.cpp
+++ b/tests/hot_restart_race_test.cpp
@@ -1,5 +1,6 @@
-// Two real processes of a node where the hand-over between them crosses another event:
-// docs/terms.md has the table.
+// Tests with two real processes of a node in which the hand-over coincides with another event. They
+// guard against refused clients and against two or no serving processes. docs/terms.md has the
+// table.
 #include <boost/asio/read.hpp>
 
 #include "agent.hpp"
@@ -12,18 +13,18 @@
   ~HandoverCrossing() override {
     for (const auto p : others) kill(p, SIGKILL), waitpid(p, nullptr, 0);
   }
-  // Both processes' connections to the agent that follows `known`: it tells of the server once
-  // `tells` is set.
+  // Both processes connect to the agent that follows `known`. It reports the server once `tells` is
+  // set.
   HandoverCrossing() {
-    config["settings"]["packages"][0]["units-per-s"] = 0;  // no quota refuses anything
+    config["settings"]["packages"][0]["units-per-s"] = 0;  // the quota rejects nothing
     quiet.on([this](Wire& w) {
       const auto port = std::to_string(server.endpoint().port());
       if (!w.message().empty() && tells)
         w.send(kHead + chunk(list(2, true, member("s-00000001", "SERVING", port)) + "\n"));
     });
   }
-  // A new process beside the one that serves, which can't be ready before discovery names a server
-  // to it.
+  // Starts a new process while the old one serves. It can't be ready before discovery reports a
+  // server to it.
   void begin() {
     old_process = child;
     known = std::exchange(config["known"]["members"], json::array());
@@ -38,7 +39,7 @@
       return admin_request(new_control, "GET", "/ready").starts_with("HTTP/1.1 503");
     })) << log();
   }
-  // The same, and it has the listening socket, which it has in common with its predecessor.
+  // The same, and waits until the new process shares the listening socket with its predecessor.
   void begin_with_socket() {
     begin();
     ASSERT_TRUE(loop.until([&] { return has_socket(); }));
@@ -77,7 +78,7 @@
                                              : ::testing::AssertionFailure())
            << told << log();
   }
-  // The exit status of a process that ends by itself; -1 if it does not.
+  // Returns the exit status of a process that ends by itself, or -1 if it does not.
   int ended(pid_t& process) {
     int status = 0;
     if (!loop.until([&] { return waitpid(process, &status, WNOHANG) == process; })) return -1;
@@ -87,7 +88,7 @@
   void kill_now(pid_t& process) {
     kill(process, SIGKILL), waitpid(std::exchange(process, 0), nullptr, 0);
   }
-  // The process that serves can be followed, as ever.
+  // Expects that another hand-over from the serving process succeeds.
   void expect_followed() {
     if (old_process > 0) others.push_back(std::exchange(old_process, 0));
     const auto before = count("taken over from a predecessor");
@@ -105,8 +106,8 @@
 
 // ---- SIGTERM ------------------------------------------------------------------------------------
 
-// The old process ends while the new one holds the socket and waits to be ready: it serves on with
-// that socket, on which clients that connect meanwhile wait, and it can be followed.
+// The old process ends while the new one holds the socket and is not ready yet. The new one serves
+// with that socket, on which clients that connect meanwhile wait, and it can hand over later.
 TEST_F(HandoverCrossing, TermToTheOldOneBeforeTheNewOneAsks) {
   start(old_control);
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
@@ -118,7 +119,7 @@
   EXPECT_TRUE(serves());
   expect_followed();
 }
-// With a request out it stays for that, and hands over what it has.
+// With a request in flight the old process stays until that ends, and hands over its state.
 TEST_F(HandoverCrossing, TermToTheOldOneWithARequestOutBeforeTheNewOneAsks) {
   start(old_control);
   answers = false;
@@ -137,13 +138,13 @@
   EXPECT_EQ(ended(old_process), 0);
   EXPECT_TRUE(serves());
 }
-// The new process ends before it has taken over: what the old one holds stays with it.
+// The new process ends before it has taken over. The old one keeps its state.
 TEST_F(HandoverCrossing, TermToTheNewOneBeforeItAsks) {
   start(old_control);
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
   kill(child, SIGTERM);
   EXPECT_FALSE(admin_request(new_control, "GET", "/ready")
-                   .starts_with("HTTP/1.1 200"));  // the signal came before
+                   .starts_with("HTTP/1.1 200"));  // the signal arrived before the request
   tells = true;
   EXPECT_EQ(ended(child), 0);
   EXPECT_EQ(count("a successor takes over"), 0) << log();
@@ -164,7 +165,7 @@
   EXPECT_TRUE(serves());
   expect_followed();
 }
-// Both at once: each finishes, and neither waits for the other.
+// Both processes are signalled at once. Each ends, and neither waits for the other.
 TEST_F(HandoverCrossing, TermToBoth) {
   start(old_control);
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
@@ -188,7 +189,7 @@
   std::ofstream(dir / "config.json") << config;
   kill(old_process, SIGHUP), kill(child, SIGHUP);
   EXPECT_TRUE(logged("configuration read again", 2)) << log();
-  EXPECT_TRUE(serves());  // by the old one
+  EXPECT_TRUE(serves());  // the old process answers
   tells = true;
   EXPECT_TRUE(ready(new_control));
   EXPECT_EQ(count("taken over from a predecessor"), 1);
@@ -211,9 +212,10 @@
   EXPECT_TRUE(serves());
 }
 
-// ---- The other one ends, or is silent -----------------------------------------------------------
+// ---- The other process ends or is silent --------------------------------------------------------
 
-// Stopped before it has read a word, so that the successor is killed before it has the socket.
+// The predecessor is stopped before it has read anything, so that the successor is killed before it
+// has the socket.
 TEST_F(HandoverCrossing, TheSuccessorIsKilledBeforeItHasTheSocket) {
   start(old_control);
   kill(child, SIGSTOP);
@@ -234,8 +236,9 @@
   EXPECT_EQ(count("a successor takes over"), 0) << log();
   expect_followed();
 }
-// A predecessor that is silent for its limit is not waited for; when it wakes it ends as told, and
-// does not take away the way by which the new one is followed.
+// The successor stops waiting for a predecessor that is silent for its time limit. When the
+// predecessor resumes, it ends on its signal and does not remove the path on which the new process
+// accepts its own successor.
 TEST_F(HandoverCrossing, ThePredecessorIsSilentFromTheStart) {
   start(old_control);
   kill(child, SIGSTOP);
@@ -248,7 +251,7 @@
   EXPECT_TRUE(serves());
   expect_followed();
 }
-// It has given its socket: the new one serves with that, and no client is refused.
+// The predecessor has passed its socket. The new process serves with it, and no client is refused.
 TEST_F(HandoverCrossing, ThePredecessorIsSilentWhenItIsAskedForItsState) {
   start(old_control);
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
@@ -262,8 +265,8 @@
 
 // ---- Malformed messages -------------------------------------------------------------------------
 
-// A successor that is none, on the path where one is waited for: whatever it says, clients are
-// served.
+// Something other than a successor connects to the path where a successor is expected. Whatever it
+// sends, clients are served.
 TEST_F(HandoverCrossing, ASuccessorThatSpeaksRubbishLeavesTheOldOneServing) {
   start(old_control);
   known = config["known"]["members"];
@@ -278,7 +281,7 @@
     asio::write(s, asio::buffer(words));
     std::string in;
     error_code ended;
-    asio::read(s, asio::dynamic_buffer(in), ended);  // until the old one ends the link
+    asio::read(s, asio::dynamic_buffer(in), ended);  // until the old process closes the connection
     if (words.starts_with(take)) {
       EXPECT_TRUE(logged("clients are served here again", back + 1)) << words << log();
     }
@@ -289,8 +292,8 @@
 
 // ---- A second successor -------------------------------------------------------------------------
 
-// The one that came last follows. The one before it, which has taken nothing, ends: two that serve
-// would be two nodes of one name.
+// The last successor takes over. The earlier one, which has taken nothing, ends: two serving
+// processes would be two nodes with one name.
 TEST_F(HandoverCrossing, OfTwoSuccessorsTheLastOneFollowsAndTheOtherEnds) {
   start(old_control);
   ASSERT_NO_FATAL_FAILURE(begin_with_socket());
--- a/tests/session_race_test.cpp
+++ b/tests/session_race_test.cpp
@@ -1,5 +1,6 @@
-// Clients' sessions where two events cross: a close and a send, a shutdown and a request. Each
-// order is forced.
+// Tests of client sessions when two events coincide: a close and the forwarding of a request, a
+// shutdown and a request. They guard against forwarding for a client that has left and against lost
+// answers. Each order is forced.
 #include "node_fixture.hpp"
 
 namespace petrelrail::test {
@@ -13,7 +14,7 @@
 }
 
 struct GoneClient : NodeTest {
-  // Without having been sent on, or not sent on once more.
+  // Expects that the request was not forwarded again after the given number of attempts.
   void expect_left(std::size_t attempts) {
     ASSERT_TRUE(
         loop.until([&] { return node->open_requests() == 0 && has_metric("node_concurrent 0"); }));
@@ -22,8 +23,8 @@
     EXPECT_EQ(received_requests.size(), attempts + 1);
   }
 };
-// The units that a request waits for and its client's close have both come before the loop goes on,
-// the units first.
+// The units that a request waits for and its client's close both arrive before the loop continues,
+// the units first. The request must not be forwarded.
 TEST_F(GoneClient, ACloseThatTheLoopHasNotToldOfComesBeforeTheSend) {
   start();
   for (const bool resets : {false, true}) {
@@ -45,8 +46,8 @@
     EXPECT_TRUE(received_requests.empty());
   }
 }
-// Of a client that has written far ahead nothing more is kept, but it is read on: its close lies
-// behind all that.
+// When a client has sent far ahead, the session stores no more but continues to read, because the
+// client's close arrives after all that data.
 TEST_F(GoneClient, ACloseBehindALotThatNobodyAskedForIsSeen) {
   start();
   std::shared_ptr<Wire> first;
@@ -59,13 +60,15 @@
   ASSERT_TRUE(loop.until([&] { return first != nullptr; }));
   asio::write(w->socket, asio::buffer(std::string(400000, 'x')));
   w->close();
-  ASSERT_TRUE(loop.until([&] { return has_metric("node_sessions 1"); }));  // the test's first one
-  first->send(http_answer("500 Oops"));  // safe to repeat: a further attempt would be made
+  ASSERT_TRUE(
+      loop.until([&] { return has_metric("node_sessions 1"); }));  // the fixture's own session
+  first->send(http_answer("500 Oops"));  // safe to repeat: a retry would follow
   expect_left(1);
 }
 
-// An answer that breaks on its way. What the client has got of it is not taken back by a reset, and
-// the end that is missing tells that it is not whole.
+// An answer is cut short while it is passed on. The node closes without a reset, which could
+// discard what the client has received, and the missing end shows the client that the answer is
+// incomplete.
 TEST_F(NodeTest, AnAnswerThatBreaksOnItsWayEndsInOrderWithoutItsEnd) {
   start();
   for (const char* framing : {"", "Content-Length: 70000\r\n"}) {
@@ -82,8 +85,8 @@
     EXPECT_FALSE(w->in.ends_with("\r\n0\r\n\r\n"));
   }
 }
-// Of a head alone nothing has been passed on: it is tried elsewhere, and one that never goes on has
-// the request's time.
+// A head alone is not passed on, so another server can be tried. An answer that never continues
+// after its head ends at the request's deadline.
 TEST_F(NodeTest, AHeadAloneIsHeldAndMayBeTriedElsewhere) {
   start();
   std::shared_ptr<Wire> first;
@@ -97,7 +100,7 @@
   const auto w = client();
   w->send(RequestSpec{}.text());
   ASSERT_TRUE(loop.until([&] { return first != nullptr; }));
-  const auto later = client();  // what is held of its answer passes on after the same time
+  const auto later = client();  // its held partial answer is passed on after the same time
   later->send(RequestSpec{.id = "a2"}.text());
   ASSERT_TRUE(loop.until([&] { return later->in.ends_with("abc"); }));
   first->reset();
@@ -108,20 +111,20 @@
 }
 
 struct LingeringClose : NodeTest {
-  // A session that rests after its answer, and a node that has just been told to end.
+  // Returns a session that is idle after its answer, on a node that has just begun to drain.
   std::shared_ptr<Wire> resting() {
     start();
     const auto w = client();
     w->send(RequestSpec{}.text());
     EXPECT_EQ(status(w), 200);
     node->drain([this] { ended = true; });
-    EXPECT_TRUE(loop.until([&] { return w->ended; }));  // its sending side
+    EXPECT_TRUE(loop.until([&] { return w->ended; }));  // the node's sending side
     return w;
   }
   bool ended = false;
 };
-// What crosses the close is thrown away and is no reset, which could take an answer with it that is
-// still on its way.
+// A request that coincides with the close is discarded without a reset, which could discard an
+// answer that is still in transit.
 TEST_F(LingeringClose, ARequestThatCrossesTheCloseIsNeitherSentOnNorAReset) {
   const auto w = resting();
   const auto text = RequestSpec{.id = "a2"}.text();
@@ -133,8 +136,8 @@
   EXPECT_TRUE(loop.until([&] { return ended; }));
   EXPECT_EQ(received_requests.size(), 1u);
 }
-// It reads on for a bounded time: the node ends though this client neither closes nor stops to
-// write.
+// A lingering close reads for a bounded time: the node ends although this client neither closes nor
+// stops writing.
 TEST_F(LingeringClose, AClientThatNeverClosesDoesNotHoldTheNodeUp) {
   const auto w = resting();
   EXPECT_TRUE(loop.until([&] {
--- a/tests/watch_race_test.cpp
+++ b/tests/watch_race_test.cpp
@@ -100,7 +100,7 @@
   ASSERT_NE(watch(3), nullptr);
   EXPECT_EQ(discovery.stats().lost + discovery.stats().unreadable, 0U);  // both ended for silence
 }
-// If no watch delivers the list, polls still fetch the agent's list.
+// If every watch fails or stays silent after its head, polls still fetch the agent's list.
 TEST_F(WatchCrossing, WhereEveryWatchIsRefusedTheListIsStillLearned) {
   on_watch = [](Wire& w) { w.send(http_answer("503 Service Unavailable")); };
   on_question = [](Wire& w) { w.send(whole(50 + 1, member("s-0000000b"))); };
