--- a/tests/acceptance_terms_test.cpp
+++ b/tests/acceptance_terms_test.cpp
@@ -1,11 +1,11 @@
-// The terms of the standing test's page, each against scripted peers: docs/terms.md has the table.
+// Tests of the acceptance requirements, each against scripted peers. docs/terms.md has the table.
 #include "agent.hpp"
 #include "node_fixture.hpp"
 
 namespace petrelrail::test {
 namespace {
 
-// ---- One clock for the list ---------------------------------------------------------------------
+// ---- The endpoint list --------------------------------------------------------------------------
 
 struct WatchTerms : DiscoveryTest {
   static std::string indented(const std::string& text) {
@@ -18,8 +18,8 @@
   w->send(kHead + chunk("\n") + chunk(indented(list(43, false, member("s-0000000a", "DRAINING")))));
   ASSERT_TRUE(wait_for(2));
   EXPECT_EQ(told[1].entries.at(0).info.phase, EndpointPhase::draining);
-  // Brackets, quotes and line ends in a text are none, and where the pieces are cut does not
-  // matter.
+  // Brackets, quotes and line ends inside a JSON string do not count as structure, and the
+  // boundaries of the chunks do not matter.
   const auto odd = indented(list(44, true, member(R"(]}\"{\\)")));
   for (const char c : odd) w->send(chunk({c}));
   w->send(chunk("\r\n" + indented(list(45, false, member("s-0000000b", "DELETED"))) +
@@ -31,11 +31,12 @@
   EXPECT_EQ(discovery.revision(), 47u);
   EXPECT_EQ(asked.size(), 1u);
 }
-// An empty line never stands within a list.
+// An empty line never occurs within a list, so a list is cut short if one follows its beginning.
+// The watch is then started again.
 TEST_F(WatchTerms, AnIndentedListThatIsCutShortBeginsTheWatchAnew) {
   start();
   const auto whole = indented(list(43, false, member("s-0000000b")));
-  // In the middle of a string, and between two members.
+  // Cut in the middle of a string, and between two members.
   watch()->send(kHead + chunk(whole.substr(0, whole.find("RVING")) + "\n"));
   ASSERT_NE(watch(2), nullptr);
   watch(2)->send(kHead + chunk(whole.substr(0, whole.find("\"cell\"")) + "\n") + chunk("\n"));
@@ -45,9 +46,9 @@
   ASSERT_TRUE(wait_for(2));
   EXPECT_EQ(told[1].entries.at(0).info.id, EndpointId(11));
 }
-// The agent answers a new watch at once: one that is silent from its start is left long before one
-// that fell silent after a line. Another list that is watched on the same clock tells which comes
-// first.
+// The agent answers a new watch at once, so a watch that is silent from its start is abandoned long
+// before one that falls silent after a line. A second Discovery on the same clock shows which is
+// abandoned first.
 TEST_F(WatchTerms, AWatchThatIsSilentFromItsStartIsLeftBeforeOneThatFellSilent) {
   std::size_t others = 0;
   Peer other_agent{loop.io, [&](Wire& w) {
@@ -63,15 +64,15 @@
   other.start(nlohmann::json::parse(list(41, true, member("s-0000000a"))));
   ASSERT_TRUE(loop.until([&] { return others == 1; }));
   start();
-  ASSERT_NE(watch(3), nullptr);  // also the second stays silent
+  ASSERT_NE(watch(3), nullptr);  // the second watch stays silent too
   EXPECT_EQ(others, 1u);
   agent.wires.back()->send(kHead + chunk(list(43, false, member("s-0000000b")) + "\n"));
   EXPECT_TRUE(wait_for(2));
   EXPECT_TRUE(loop.until([&] { return others == 2; }));
 }
-// As long as an outage may last the agent is asked again and again, and no longer pauses follow
-// from it: what it has right after counts as told at once. What it holds comes with the first
-// answer.
+// Throughout an outage the agent is contacted repeatedly, and the reconnect delays do not grow,
+// because a change that the agent has right after the outage counts as reported at once. Its list
+// arrives with the first answer.
 TEST_F(WatchTerms, RightAfterAnOutageTheListIsThere) {
   start();
   watch()->send(kHead + chunk("\n"));
@@ -82,7 +83,8 @@
   EXPECT_EQ(told[1].kind, EndpointListKind::full);
   EXPECT_EQ(asked.back(), "GET /api/targets?watch=1&from=41 HTTP/1.1");
 }
-// The address that SIGHUP names may be silent at first; the old one is not gone back to.
+// The address configured by SIGHUP may be silent at first. Discovery keeps trying it and does not
+// return to the old one.
 TEST_F(WatchTerms, AnAgentThatHasMovedAndIsSilentIsAskedAgain) {
   start();
   ASSERT_NE(watch(), nullptr);
@@ -105,25 +107,26 @@
   }
   bool ended = false;
 };
-// A client that connects has a request to send: closing its connection unanswered would count as a
-// refusal.
+// A client that connects is about to send a request. Closing its connection unanswered would count
+// as a refusal.
 TEST_F(EndTerms, AConnectionThatCameJustBeforeTheSignalIsServed) {
   start();
   const auto kept = client();
   kept->send(RequestSpec{}.text());
   ASSERT_EQ(status(kept), 200);
   const auto fresh = client();
-  ASSERT_TRUE(
-      loop.until([&] { return has_metric("node_sessions 3"); }));  // the test's first one as well
+  ASSERT_TRUE(loop.until(
+      [&] { return has_metric("node_sessions 3"); }));  // including the fixture's own session
   drain();
-  ASSERT_TRUE(loop.until([&] { return kept->ended; }));  // between requests
+  ASSERT_TRUE(loop.until([&] { return kept->ended; }));  // idle between requests
   EXPECT_FALSE(fresh->ended);
   fresh->send(RequestSpec{.id = "a2"}.text());
   EXPECT_EQ(status(fresh), 200);
   EXPECT_NE(answer.find("Connection: close\r\n"), std::string::npos);
   EXPECT_TRUE(loop.until([&] { return ended; }));
 }
-// What has come before the signal is read is not closed upon.
+// A request that arrives before the signal is processed is answered; its connection is not closed
+// first.
 TEST_F(EndTerms, ARequestThatCrossesTheSignalIsServed) {
   start();
   const auto w = client();
@@ -134,8 +137,8 @@
   EXPECT_EQ(status(w), 200);
   EXPECT_TRUE(loop.until([&] { return ended; }));
 }
-// On what stays open clients send up to SIGKILL, which finds nothing unanswered: a request that
-// comes late ends by then, however long its client would wait.
+// Clients send on connections that stay open until SIGKILL, which must leave no request unanswered.
+// A late request is therefore answered before it, however long its client would wait.
 TEST_F(EndTerms, ARequestThatComesLateIsAnsweredBeforeTheKill) {
   start();
   respond = {};
@@ -145,7 +148,7 @@
   slow->send(text.substr(0, 100));
   ASSERT_TRUE(loop.until([&] { return has_metric("node_sessions 2"); }));
   drain();
-  const auto mark = client();  // closed when new ones come no more
+  const auto mark = client();  // closed once no new connections are accepted
   ASSERT_TRUE(loop.until([&] { return mark->ended; }));
   slow->send(text.substr(100));
   EXPECT_GE(status(slow), 429);
@@ -155,9 +158,9 @@
 
 // ---- Final answers ------------------------------------------------------------------------------
 
-// An answer of the usual size that stalls on its way gets its end soon after its request's time, so
-// that the client can tell: without one it would be lost. A long one that stalled before it still
-// has time.
+// An answer of the usual size that stalls while it is passed on is ended soon after its request's
+// deadline, so that the client can tell: without an end it would be lost. A long answer that
+// stalled earlier still has time.
 TEST_F(NodeTest, AnAnswerThatStallsOnItsWayEndsSoonAfterItsTime) {
   start();
   respond = [&](Wire& w, const std::string&) {
@@ -176,7 +179,7 @@
   EXPECT_TRUE(loop.until([&] { return both[0]->ended; }));
 }
 
-// A second answer that comes before the connection is used again ends it.
+// A second answer that arrives before the connection is reused closes the connection.
 TEST_F(NodeTest, AConnectionOnWhichASecondAnswerComesEnds) {
   one_server = true;
   start();
--- a/tests/golden.hpp
+++ b/tests/golden.hpp
@@ -1,7 +1,7 @@
-// Golden files: what the program writes for others to read (datagrams, records, hand-over state,
-// metrics, messages), recorded once in tests/golden and compared with what it writes now. With
-// PETRELRAIL_RECORD_GOLDEN set the files are written anew and the test fails, so that a recording
-// is never taken for a pass.
+// Golden files: the program's external formats (datagrams, records, hand-over state, metrics,
+// messages), recorded once in tests/golden and compared with the current output. With
+// PETRELRAIL_RECORD_GOLDEN set the files are rewritten and the test fails, so that a recording is
+// never taken for a pass.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -47,9 +47,9 @@
   return text;
 }
 
-// The type of a value and the path to it, for every value of a document. Arrays are opened where
-// they hold objects; else they may be empty at one time and not at another. Numbers at the end of a
-// name stand as N.
+// Collects the path and type of every value of a document. Only arrays of objects are entered,
+// because other arrays may be empty in one run and not in the next. Numbers at the end of a name
+// are replaced by N.
 inline void collect_paths(const nlohmann::json& value, const std::string& path,
                           std::set<std::string>& paths) {
   if (value.is_object()) {
--- a/tests/golden_codec_test.cpp
+++ b/tests/golden_codec_test.cpp
@@ -1,5 +1,5 @@
-// What is written for other processes and later versions to read stays as it was: each form is
-// compared with a golden file, and each golden file is read by the code of today.
+// Guards against incompatible changes of formats that other processes and later versions read: each
+// encoding is compared with a golden file, and each golden file is decoded by the current code.
 #include <array>
 
 #include "fleet/job_codec.hpp"
@@ -210,7 +210,7 @@
   expect_golden("records.txt", text);
 }
 
-// The values under a kind, in the file's order.
+// Returns the values recorded for a kind, in the file's order.
 std::vector<std::string> golden_records(const std::string& kind) {
   std::vector<std::string> values;
   std::istringstream lines(read_golden("records.txt"));
@@ -248,7 +248,7 @@
             (fleet::PublishedVerdict{41, fleet::kWholeMap, 1, 34}));
 }
 
-// ---- Settings that can't be used ----------------------------------------------------------------
+// ---- Invalid settings ---------------------------------------------------------------------------
 
 std::string message_of(const json& settings) {
   try {
@@ -259,7 +259,8 @@
   return "accepted";
 }
 
-// One line for each way in which one value of the settings can be wrong, with what is said of it.
+// Returns one line for each way in which a single value of the settings can be invalid, with the
+// error message.
 std::string messages_of_bad_settings() {
   std::string text;
   const auto good = facts();
--- a/tests/settings_json.hpp
+++ b/tests/settings_json.hpp
@@ -1,4 +1,4 @@
-// Settings as they come in JSON, for the tests of both programs.
+// Settings in JSON form, for the tests of both programs.
 #pragma once
 
 #include <nlohmann/json.hpp>
