--- a/tests/watch_race_test.cpp
+++ b/tests/watch_race_test.cpp
@@ -510,7 +510,8 @@
   bad.push_back(good.substr(1));
   each(bad, &Discovery::Stats::bad_documents, 0);
 }
-// The callback may throw before it has applied a list. The list is requested and delivered again.
+// The callback may throw after it has applied part of a list. The list is then requested and
+// delivered again.
 TEST_F(MalformedLists, AListThatCouldNotBeToldIsAskedForAgain) {
   int fails = 1, came = 0;
   Discovery other{loop.io,
