--- a/tests/process_cluster_fixture.hpp
+++ b/tests/process_cluster_fixture.hpp
@@ -1,7 +1,7 @@
-// A tier of real processes on loopback, with everything they speak to played here, and faults
-// between any two: datagrams that are lost or come twice, a counter that is silent, refuses or has
-// lost its numbers, nodes that are killed, stall or are cut off. The price servers are the judge of
-// what ran where: each node has a port of its own to them.
+// Fixture that runs a fleet of petrelrail processes on loopback and simulates everything they
+// connect to. It injects faults: lost or duplicated datagrams between any two nodes, a counter that
+// is silent, refuses or has lost its values, nodes that are killed, stalled or partitioned. The
+// simulated price servers record which node forwarded what: each node has its own port to them.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
@@ -26,7 +26,7 @@
 
 class Tier {
  public:
-  struct Run {  // of one request at a price server
+  struct Run {  // one execution of a request at a price server
     std::uint32_t node = 0;
     std::string id, target;
     bool answered = false;
@@ -57,7 +57,8 @@
     std::filesystem::remove_all(dir);
   }
 
-  // Waits for what is to come; long, as sixteen processes may share few cores.
+  // Waits until the condition holds. The limit is long because sixteen processes may share few
+  // cores.
   bool until(const std::function<bool()>& so) { return loop.until(so, 180s); }
 
   void start(std::uint32_t node) {
@@ -66,8 +67,8 @@
     std::filesystem::create_directories(n.folder / "tmp");
     n.child = spawn(n);
   }
-  // A new process beside the old one takes over from it, and the old one is told to end; false: it
-  // did not.
+  // Starts a new process beside the old one, which takes over from it, and sends SIGTERM to the old
+  // one. Returns false if the new process does not become ready or the old one does not end.
   bool upgrade(std::uint32_t node) {
     auto& n = *nodes_[node];
     const auto before = n.control;
@@ -86,7 +87,7 @@
   bool up(std::uint32_t node) const { return nodes_[node]->child != nullptr; }
   void signal(std::uint32_t node, int number) { nodes_[node]->child->signal(number); }
   bool ended(std::uint32_t node) { return nodes_[node]->child->poll_wait_status().has_value(); }
-  // What goes from one node to another is lost.
+  // Drops all datagrams from one node to another.
   void cut(std::uint32_t from, std::uint32_t to, bool lost = true) { cut_[from][to] = lost; }
   void cut_off(std::uint32_t node, bool off = true) {
     for (std::uint32_t i = 0; i < count; ++i) cut(i, node, off), cut(node, i, off);
@@ -97,13 +98,13 @@
   world::Counter& counter() { return counter_; }
   Time now() const { return clock_.now(); }
 
-  // The head and body of an answer on a node's control address; empty: there was none.
+  // Response of a node's control address; status 0 if there was none.
   struct Reply {
     int status = 0;
     std::string location;
     json body;
   };
-  // Null: it does not listen.
+  // Returns null if the node does not listen.
   std::shared_ptr<Wire> begin(std::uint32_t node, const std::string& method,
                               const std::string& target, const std::string& body = "") {
     try {
@@ -127,8 +128,8 @@
     r.body = json::parse(w->in.substr(head + 4), nullptr, false);
     return r;
   }
-  // The same, following where it is sent, from whatever node that is up first; again while nobody
-  // holds what it is about.
+  // Like call(), but starts at the first running node from `from` on, follows redirects, and
+  // retries while no node holds the lease that the request needs.
   Reply ask(const std::string& method, const std::string& target, const std::string& body = "",
             std::uint32_t from = 0, Duration most = 180s) {
     Reply r;
@@ -155,7 +156,7 @@
       return true;
     });
   }
-  // Every node that is up sees just those that are up.
+  // Waits until the membership view of every running node contains exactly the running nodes.
   bool agreed() {
     return until([&] {
       for (std::uint32_t i = 0; i < count; ++i) {
@@ -170,13 +171,15 @@
       return true;
     });
   }
-  // So many requests have come from other nodes than this one, after the last that came from it.
+  // Returns whether at least `many` requests have arrived from other nodes since the last request
+  // from this node.
   bool ran_elsewhere(std::uint32_t node, std::size_t many) const {
     std::size_t since = 0;
     for (const auto& r : runs) since = r.node == node ? 0 : since + 1;
     return since >= many;
   }
-  // Duties whose name begins so that are held, as the nodes that are up say of themselves.
+  // Counts the leader leases with this name prefix that the running nodes report as held by
+  // themselves.
   std::size_t held(const std::string& prefix) {
     std::size_t n = 0;
     for (std::uint32_t i = 0; i < count; ++i) {
@@ -201,10 +204,10 @@
   const std::uint32_t count;
   std::filesystem::path dir;
   json settings;
-  std::vector<Run> runs;  // in the order in which they came
+  std::vector<Run> runs;  // in order of arrival
   std::function<bool(const Run&)> answers = [](const Run&) {
     return true;
-  };  // false: the server stays silent
+  };  // false: the server does not answer
   Duration work = 5ms;
   std::vector<std::string> breaches;
 
@@ -224,7 +227,8 @@
           folder(t.dir / std::to_string(number)) {
       std::filesystem::create_directories(folder);
     }
-    // Of this test's process alone, so that no port is taken by another that runs beside it.
+    // Returns an address specific to this test process, so that tests that run at the same time
+    // don't take each other's ports.
     static asio::ip::address_v4 address(std::uint32_t number) {
       const auto id = static_cast<unsigned>(getpid());
       return asio::ip::address_v4({127, static_cast<unsigned char>(64 + (id >> 8U) % 128),
@@ -238,7 +242,8 @@
       for (auto l = w.line(); !l.empty(); l = w.line())
         if (!counter_cut) tier.count_up(w, l);
     }
-    // What others send to this node comes here first, from where they are bound.
+    // Receives the datagrams that other nodes send to this node; their source address identifies
+    // the sender.
     void hear() {
       relay.async_receive_from(asio::buffer(space), sender,
                                [this](const error_code& failed, std::size_t n) {
@@ -329,7 +334,7 @@
     };
     Run r{node, field("X-Request-ID"),
           m.substr(m.find(' ') + 1, m.find(" HTTP/") - m.find(' ') - 1), false};
-    // The same request may be out at one place only.
+    // A request may be in flight at one price server only.
     if (std::ranges::any_of(out_, [&](const auto& o) { return o.second == r.id; }))
       breaches.push_back("request " + r.id + " is out twice, now at node " + std::to_string(node));
     runs.push_back(r);
--- a/tests/process_fixture.hpp
+++ b/tests/process_fixture.hpp
@@ -1,4 +1,5 @@
-// The real program as a process of a test: its configuration, its peers, its log.
+// Fixture that runs the petrelrail program as a child process, with its configuration, log and
+// loopback stand-ins for the price server, the quota counter and discovery.
 #pragma once
 
 #include <fcntl.h>
@@ -49,11 +50,12 @@
     if (child > 0) kill(child, SIGKILL), waitpid(child, nullptr, 0);
     std::filesystem::remove_all(dir);
   }
-  // The program has to be told a port that is free: the system's choice, given back just before.
+  // Returns a free port for the program's configuration: the operating system chooses it, and the
+  // socket is closed just before the program starts.
   Tcp::endpoint free_port() { return Peer(loop.io).endpoint(); }
 
-  // With further words on the command line; those that name the configuration take the place of
-  // GW_CONFIG.
+  // Starts the program with additional command-line arguments. Tests whose arguments name the
+  // configuration pass by_variable = false, so that GW_CONFIG is not set.
   void run(rlim_t descriptors = 1024, std::vector<std::string> words = {},
            bool by_variable = true) {
     std::ofstream(dir / "config.json") << config;
@@ -74,7 +76,7 @@
     execv(PETRELRAIL_PROGRAM, arguments.data());
     _exit(99);
   }
-  // The exit status; -1 if it does not end.
+  // Returns the exit status, -1 if the process does not end, or -2 if it did not exit normally.
   int exit_status() {
     int status = 0;
     if (!loop.until([&] { return waitpid(child, &status, WNOHANG) == child; })) return -1;
@@ -93,7 +95,7 @@
         w->send("GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         return loop.until([&] { return w->ended; }) && w->in.starts_with("HTTP/1.1 200 ");
       } catch (const boost::system::system_error&) {
-        return false;  // it does not listen yet
+        return false;  // The program does not listen yet.
       }
     });
   }
@@ -110,7 +112,7 @@
   }
 
   Loop loop;
-  std::shared_ptr<Wire> held;  // a request that the server has not answered
+  std::shared_ptr<Wire> held;  // connection of a request that the server has not answered
   bool answers = true;
   Peer server{loop.io, [this](Wire& w) {
                 if (w.message().empty()) return;
@@ -126,7 +128,7 @@
   Tcp::endpoint listen;
   json config;
   pid_t child = 0;
-  std::map<std::string, std::string> variables;  // more of the program's environment
+  std::map<std::string, std::string> variables;  // additional environment variables of the program
 };
 
 }  // namespace petrelrail::test
