--- a/tests/process_race_test.cpp
+++ b/tests/process_race_test.cpp
@@ -1,12 +1,12 @@
-// The real program where troubles meet: descriptors that run out while discovery is down, a start
-// without the counter, signals that cross.
+// Tests of the petrelrail program under simultaneous faults: descriptors run out while discovery is
+// down, the counter is missing at the start, signals arrive during a shutdown or reload.
 #include "agent.hpp"
 #include "race_fixture.hpp"
 
 namespace petrelrail::test {
 namespace {
 
-// A peer that takes connections and breaks each at once.
+// A peer that accepts connections and resets each immediately.
 class Breaker {
  public:
   explicit Breaker(asio::io_context& io)
@@ -34,7 +34,8 @@
   static constexpr std::size_t kLimit = 128, kClients = 300;
   Full() { config["discovery"] = quiet.text(), config["limits"]["sockets"] = kLimit; }
 
-  // Clients that have been answered once, and idle: more than the process has descriptors for.
+  // Opens more client connections than the process has descriptors for; each is answered once and
+  // then idles, or is closed.
   void fill() {
     for (std::size_t i = 0; i < kClients; ++i) {
       many.push_back(loop.connect(listen));
@@ -91,11 +92,14 @@
   EXPECT_LE(sockets(), kLimit);
   EXPECT_LT(std::ranges::count(log(), '\n'), 20) << log();
 }
+// Guards against idle clients that use up all descriptors: the control address, the counter,
+// discovery when it comes back, and new price servers must still get connections.
 TEST_F(Full, IdleClientsLeaveTheRestWhatItNeedsWhileDiscoveryIsDown) { leaves_room(kLimit); }
-// The process may open more than it was told: that is not its own.
+// The operating system permits more descriptors than the configuration: the program must keep to
+// the configured limit.
 TEST_F(Full, IdleClientsLeaveTheRestWhatItNeedsWhereOnlyTheSettingsLimitThem) { leaves_room(1024); }
-// Told of more descriptors than it has: the lack shows at accept(), and is no reason for a line
-// each time.
+// The configured limit is above the operating system's: the lack appears only when accept()
+// fails, clients must still be served, and the failures must not add a log line each.
 TEST_F(Full, ALimitBelowTheOneToldLeavesClientsServed) {
   config["limits"]["sockets"] = 1024;
   run(kLimit);
@@ -107,14 +111,15 @@
   EXPECT_LE(sockets(), kLimit);
   EXPECT_LT(std::ranges::count(log(), '\n'), 20) << log();
 }
-// More than fit ask at once: each has its answer, or the end of its connection, though no client
-// hangs up. Meanwhile those who have asked hold what they have, and the rest waits unaccepted.
+// More clients send a request at the same time than descriptors permit. Each must get an answer
+// or a closed connection, though no client hangs up. Meanwhile the accepted requests keep their
+// connections, and the other clients wait unaccepted.
 void Full::answers_or_ends(rlim_t descriptors) {
   std::vector<std::shared_ptr<Wire>> out;
   server.on([&](Wire& w) {
     if (!w.message().empty()) out.push_back(w.shared_from_this());
   });
-  config["settings"]["packages"][0]["units-per-s"] = 0;  // no quota holds anything up
+  config["settings"]["packages"][0]["units-per-s"] = 0;  // 0: no request waits for quota
   run(descriptors);
   ASSERT_TRUE(up());
   char name[17];
@@ -142,7 +147,9 @@
   }));
   EXPECT_LE(sockets(), kLimit);
 }
+// Guards against requests that hang when the descriptors run out at the system's limit.
 TEST_F(Full, MoreClientsThanFitThatAskAtOnceAreAnsweredOrClosed) { answers_or_ends(kLimit); }
+// The same where only the configuration limits the number of descriptors.
 TEST_F(Full, MoreClientsThanFitAreAnsweredOrClosedWhereOnlyTheSettingsLimitThem) {
   answers_or_ends(1024);
 }
@@ -151,7 +158,7 @@
 
 struct Readiness : Crossing {
   Readiness() { config["discovery"] = quiet.text(); }
-  // What is said before it is ready.
+  // Returns the status of the first readiness check that is answered.
   int first_word() {
     int status = 0;
     EXPECT_TRUE(loop.until([&] {
@@ -161,7 +168,7 @@
         status = answered(w);
         return true;
       } catch (const boost::system::system_error&) {
-        return false;  // it does not listen yet
+        return false;  // The program does not listen yet.
       }
     }));
     return status;
@@ -175,34 +182,42 @@
              },
              false};
 };
+// Guards against a start that waits for the counter: the node becomes ready though the counter
+// accepts connections and never answers.
 TEST_F(Readiness, ComesWithACounterThatNeverAnswers) {
   Peer mute(loop.io);
   config["counter"] = mute.text();
   run();
   EXPECT_TRUE(up());
 }
+// The node becomes ready though the counter does not accept connections.
 TEST_F(Readiness, ComesWithACounterThatAcceptsNothing) {
   Peer deaf(loop.io, {}, false);
   config["counter"] = deaf.text();
   run();
   EXPECT_TRUE(up());
 }
+// The node becomes ready though the counter's address refuses connections.
 TEST_F(Readiness, ComesWithACounterThatRefuses) {
   counter.close();
   run();
   EXPECT_TRUE(up());
 }
+// The node becomes ready though the counter resets each connection.
 TEST_F(Readiness, ComesWithACounterThatBreaksEachConnection) {
   Breaker breaker(loop.io);
   config["counter"] = breaker.text();
   run();
   EXPECT_TRUE(up());
 }
+// The node becomes ready from its known list though discovery refuses connections.
 TEST_F(Readiness, ComesWithDiscoveryThatRefuses) {
   quiet.close();
   run();
   EXPECT_TRUE(up());
 }
+// Guards against reporting ready without a price server: with an empty known list the node
+// answers 503 until discovery names one.
 TEST_F(Readiness, AnEmptyKnownListIsNotReadyUntilDiscoveryNamesAServer) {
   config["known"]["members"] = json::array();
   run();
@@ -213,6 +228,8 @@
   w->send(ProcessTest::ask());
   EXPECT_TRUE(served(w));
 }
+// A known list with only draining and deleted price servers counts as empty: the node answers
+// 503 until discovery names a serving one.
 TEST_F(Readiness, AKnownListThatNamesOnlyServersThatDrainOrAreGoneIsNotReadyEither) {
   auto& members = config["known"]["members"];
   members.push_back(members[0]);
@@ -227,8 +244,8 @@
 // ---- Signals ------------------------------------------------------------------------------------
 
 struct Signals : Crossing {
-  // A request is out that the server has not answered, and beside it a client idles, which shows
-  // when the end begins.
+  // Starts the program with one request in flight that the server does not answer, and one idle
+  // client connection, whose closing shows that the shutdown has begun.
   void hold(const std::string& timeout = "2000") {
     run();
     ASSERT_TRUE(up());
@@ -257,14 +274,18 @@
                        x.send(l == "ping" ? "pong\r\n" : "ok 1\r\n");
                    }};
 };
+// A second SIGTERM during the shutdown neither ends the process early nor cuts the request in
+// flight.
 TEST_F(Signals, ASecondTermChangesNothing) {
   ASSERT_NO_FATAL_FAILURE(hold("20000"));
   kill(child, SIGTERM);
   ASSERT_TRUE(ends_begin());
   kill(child, SIGTERM);
-  ASSERT_TRUE(loop.until([&] { return figures().starts_with("HTTP/1.1 200 "); }));  // it goes on
+  ASSERT_TRUE(loop.until([&] { return figures().starts_with("HTTP/1.1 200 "); }));  // still running
   finish();
 }
+// SIGTERM immediately after SIGHUP: the reload still takes effect, and the shutdown finishes
+// with the new addresses.
 TEST_F(Signals, TermRightAfterHangUpFinishesWithTheNewAddresses) {
   ASSERT_NO_FATAL_FAILURE(hold("20000"));
   move();
@@ -277,6 +298,7 @@
   EXPECT_TRUE(served(late));
   finish();
 }
+// SIGHUP during the shutdown: the configuration is reloaded, and the shutdown still completes.
 TEST_F(Signals, HangUpAfterTermIsTakenAndTheEndComesAllTheSame) {
   ASSERT_NO_FATAL_FAILURE(hold("20000"));
   kill(child, SIGTERM);
@@ -287,19 +309,24 @@
   EXPECT_TRUE(loop.until([&] { return !agent_now.wires.empty() && !counter_now.wires.empty(); }));
   finish();
 }
+// SIGTERM while a price server does not answer: the client gets an error answer, and the process
+// ends with status 0.
 TEST_F(Signals, TermWhilePriceServersHangAnswersAndEnds) {
   ASSERT_NO_FATAL_FAILURE(hold());
   kill(child, SIGTERM);
   EXPECT_GE(answered(w), 400);
   EXPECT_EQ(exit_status(), 0) << log();
 }
-// SIGKILL comes by the longest deadline of the settings, whatever time a client has given.
+// The supervisor sends SIGKILL after the longest deadline of the settings, whatever timeout a
+// client has sent (here an hour): the answer must come before that.
 TEST_F(Signals, TermAnswersARequestWhoseClientWouldWaitForLonger) {
   ASSERT_NO_FATAL_FAILURE(hold("3600000"));
   kill(child, SIGTERM);
   EXPECT_GE(answered(w), 400);
   EXPECT_EQ(exit_status(), 0) << log();
 }
+// The longest request deadline (300 ms) is shorter than the drain: the request is answered, and
+// the process ends with status 0.
 TEST_F(Signals, TermWithADeadlineShorterThanTheDrain) {
   config["settings"]["grades"][0]["hard-limit-ns"] = 300000000;
   config["settings"]["grades"][0]["on-time-ns"] = 200000000;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,9 +1,12 @@
-// The real program as a process: its configuration, its signals, its descriptors.
+// Tests of the petrelrail program as a process: configuration, signals, hot restart, lack of
+// descriptors, and the command line.
 #include "hot_restart_fixture.hpp"
 
 namespace petrelrail::test {
 namespace {
 
+// SIGTERM with no request in flight closes the idle client connection and ends the process with
+// status 0.
 TEST_F(ProcessTest, ServesAndEndsOnTermWhenNothingIsOpen) {
   run();
   ASSERT_TRUE(up());
@@ -14,8 +17,8 @@
   EXPECT_EQ(exit_status(), 0);
   EXPECT_TRUE(loop.until([&] { return w->ended; }));
 }
-// A planned restart loses nothing: what is out gets its answer, and new connections are still
-// served.
+// Guards against losing requests in a planned restart: after SIGTERM, requests in flight get
+// their answers, and new connections are still served.
 TEST_F(ProcessTest, TermLetsOpenRequestsFinishAndTakesNewOnes) {
   run();
   ASSERT_TRUE(up());
@@ -24,18 +27,19 @@
   w->send(ask());
   ASSERT_TRUE(loop.until([&] { return held != nullptr; }));
   kill(child, SIGTERM);
-  ASSERT_TRUE(loop.until([&] { return idle->ended; }));  // closed between requests
+  ASSERT_TRUE(
+      loop.until([&] { return idle->ended; }));  // an idle connection is closed between requests
   answers = true;
   const auto late = loop.connect(listen);
   late->send(ask());
   EXPECT_TRUE(served(late));
-  EXPECT_TRUE(loop.until([&] { return late->ended; }));  // it has been told to come no more
+  EXPECT_TRUE(loop.until([&] { return late->ended; }));  // its answer carried "Connection: close"
   held->send(http_answer("200 OK", "served"));
   EXPECT_TRUE(served(w));
   EXPECT_EQ(exit_status(), 0);
 }
-// Discovery and the counter have moved, and the old addresses take nothing new: the program goes on
-// there.
+// SIGHUP with new addresses of discovery and the counter, while the old addresses accept no new
+// connections: the program uses the new ones, and requests are served without a restart.
 TEST_F(ProcessTest, HangUpMovesDiscoveryAndTheCounter) {
   run();
   ASSERT_TRUE(up());
@@ -61,7 +65,8 @@
   EXPECT_GT(calls, 0);
   EXPECT_TRUE(up());
 }
-// A file that can't be read changes nothing, and the program goes on.
+// SIGHUP with a file that cannot be parsed: the configuration stays in force, and the program
+// keeps serving.
 TEST_F(ProcessTest, HangUpWithABadFileChangesNothing) {
   run();
   ASSERT_TRUE(up());
@@ -72,7 +77,7 @@
   w->send(ask());
   EXPECT_TRUE(served(w));
 }
-// ---- Retuning -----------------------------------------------------------------------------------
+// ---- Configuration reload -----------------------------------------------------------------------
 
 struct Retuning : ProcessTest {
   static json other_class() {
@@ -80,7 +85,8 @@
     c["name"] = "write", c["idempotency"] = "unsafe";
     return c;
   }
-  // The line stands in the log so many times then.
+  // Writes the configuration file, sends SIGHUP and waits until the log contains the line `times`
+  // times.
   void hang_up(const std::string& file, const std::string& line, int times = 1) {
     std::ofstream(dir / "config.json") << file;
     kill(child, SIGHUP);
@@ -102,13 +108,14 @@
     return std::stoi(w->in.substr(9, 3));
   }
 };
-// A new class is served under its own rules; the dropped one while clients may still use it, and
-// then no more.
+// A reload adds a class, which is served under its own rules, and drops another, which is served
+// as long as clients may still use it and is answered with 404 afterwards.
 TEST_F(Retuning, ClassesAreAddedAndDropped) {
   run();
   ASSERT_TRUE(up());
   EXPECT_EQ(asked("POST", "write"), 404);
-  config["settings"]["grades"][0]["hard-limit-ns"] = 1000000;  // so that its last tries come soon
+  config["settings"]["grades"][0]
+        ["hard-limit-ns"] = 1000000;  // so that the last retries of the dropped class come soon
   hang_up(config.dump(), "read again\n");
   config["settings"]["grades"] = json::array({other_class()});
   hang_up(config.dump(), "read again\n", 2);
@@ -117,6 +124,8 @@
   EXPECT_EQ(asked("GET", "read"), 200);
   EXPECT_TRUE(loop.until([&] { return asked("GET", "read") == 404; }));
 }
+// Guards against a reload that applies part of an invalid file: each file here also adds a valid
+// class, or is truncated or empty, and none of its content may take effect.
 TEST_F(Retuning, ABadFileIsTurnedDownWhole) {
   run();
   ASSERT_TRUE(up());
@@ -148,8 +157,10 @@
   }
   EXPECT_EQ(asked("GET", "read"), 200);
 }
-// ---- A new version under load -------------------------------------------------------------------
+// ---- Hot restart --------------------------------------------------------------------------------
 
+// Hot restart with an idle connection and a request in flight at the old process: the new
+// process accepts all new connections, and the old one finishes its own and ends with status 0.
 TEST_F(Upgrade, TheNewProcessTakesOverAndTheOldOneFinishes) {
   start(old_control);
   const auto kept = loop.connect(listen);
@@ -163,8 +174,8 @@
   EXPECT_EQ(success_count(old_control), "1");
   const auto fresh = loop.connect(listen);
   EXPECT_TRUE(response_on(fresh).starts_with("HTTP/1.1 200"));
-  EXPECT_EQ(success_count(new_control), "1");  // the new one accepts
-  EXPECT_FALSE(kept->ended);                   // told to close, not cut off
+  EXPECT_EQ(success_count(new_control), "1");  // the new process accepts
+  EXPECT_FALSE(kept->ended);                   // asked to close with its next answer, not cut
   const auto last = response_on(kept);
   EXPECT_TRUE(last.starts_with("HTTP/1.1 200"));
   EXPECT_NE(last.find("Connection: close"), std::string::npos);
@@ -178,7 +189,8 @@
   EXPECT_TRUE(response_on(fresh).starts_with("HTTP/1.1 200"));
   EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
 }
-// A connection that waits in the queue while one process stops accepting is accepted by the other.
+// Guards against connections lost in the listen queue: a connection that waits there while one
+// process stops accepting is accepted by the other.
 TEST_F(Upgrade, NoConnectionIsLost) {
   start(old_control);
   std::vector<std::shared_ptr<Wire>> all;
@@ -200,6 +212,8 @@
   for (const auto& w : all)
     EXPECT_TRUE(loop.until([&] { return !w->in.empty(); }) && w->in.starts_with("HTTP/1.1 "));
 }
+// A price server that an operator disabled stays disabled in the new process, and control calls
+// to the new process also reach the old one, which still serves its connections.
 TEST_F(Upgrade, AServerOutByHandStaysOutAndCallsReachBoth) {
   start(old_control);
   const auto kept = loop.connect(listen), kept_too = loop.connect(listen);
@@ -223,26 +237,30 @@
                   .starts_with("HTTP/1.1 200"));
   EXPECT_TRUE(loop.until([&] { return disabled(old_control, '1'); }));
 }
+// The new process is killed after the hand-over: the old one serves new connections and can hand
+// over again.
 TEST_F(Upgrade, ASuccessorThatDiesLeavesTheOldOneServing) {
   start(old_control);
   upgrade();
   kill(child, SIGKILL), waitpid(child, nullptr, 0);
   child = std::exchange(old_process, 0);
   EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
-  upgrade();  // and it can be followed again
+  upgrade();  // the old process can hand over again
   EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
 }
+// Guards against a start that fails on a leftover hand-over path: first a regular file, then the
+// socket of a killed process. The node starts, and a hot restart works afterwards.
 TEST_F(Upgrade, ASocketLeftBehindIsNoPredecessor) {
   std::ofstream(dir / ("petrelrail-" + config["listen"].get<std::string>() + ".sock")) << "x";
   start(old_control);
   kill(child, SIGKILL), waitpid(child, nullptr, 0);
-  start(old_control);  // beside the socket of a process that was killed
+  start(old_control);  // the socket file of the killed process still exists
   EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
   upgrade();
   EXPECT_TRUE(response_on(loop.connect(listen)).starts_with("HTTP/1.1 200"));
 }
-// A predecessor that dies half way, says what is not understood, or says nothing: the node starts
-// as usual.
+// A predecessor that closes the connection, sends data that is not understood, or sends nothing:
+// the node starts as without a predecessor.
 TEST_F(Upgrade, APredecessorOfNoUseDoesNotKeepTheNodeFromStarting) {
   using Local = asio::local::stream_protocol;
   const std::vector<std::string> scripts{"", "what\n", "{\"other\":1}\n",
@@ -254,7 +272,7 @@
                                                           Local::endpoint(path.string()));
     asio::basic_stream_socket<Local, Executor> peer(loop.io.get_executor());
     acceptor.async_accept([&](const error_code& failed, auto socket) {
-      if (failed || script.empty()) return;  // closed at once
+      if (failed || script.empty()) return;  // the connection is closed without a reply
       peer = std::move(socket);
       if (script != "-") asio::write(peer, asio::buffer(script));
     });
@@ -264,8 +282,8 @@
     child = 0;
   }
 }
-// More connections than the process has descriptors for, against what it was told: it goes on
-// serving.
+// More connections than the process has descriptors for, because its configured limit is above
+// the system's limit: it keeps serving.
 TEST_F(ProcessTest, SurvivesALackOfDescriptors) {
   run(40);
   ASSERT_TRUE(up());
@@ -282,23 +300,27 @@
 
 // ---- The command line ---------------------------------------------------------------------------
 
+// --check prints the effective configuration and exits with status 0 without starting the node.
 TEST_F(ProcessTest, CheckSaysWhatTheNodeWouldDoAndStartsNothing) {
   run(1024, {"--check", "--config", (dir / "config.json").string()}, false);
   EXPECT_EQ(exit_status(), 0);
   EXPECT_NE(log().find("node n0, number 0 of 2, zone z1"), std::string::npos) << log();
   EXPECT_NE(log().find("plan p: 4 units a second, burst 12"), std::string::npos) << log();
 }
+// --check names an invalid field and exits with status 2.
 TEST_F(ProcessTest, CheckNamesTheFieldThatIsWrong) {
   config["settings"]["index"] = "first";
   run(1024, {"--check"});
   EXPECT_EQ(exit_status(), 2);
   EXPECT_NE(log().find("'index'"), std::string::npos) << log();
 }
+// --check names a missing file and exits with status 2.
 TEST_F(ProcessTest, CheckNamesAFileThatIsNotThere) {
   run(1024, {"--check", "--config", (dir / "none.json").string()}, false);
   EXPECT_EQ(exit_status(), 2);
   EXPECT_NE(log().find("none.json"), std::string::npos) << log();
 }
+// --help and --version exit with status 0, an unknown option with status 2.
 TEST_F(ProcessTest, HelpAndVersionEndWellAndUnknownWordsDoNot) {
   run(1024, {"--help"});
   EXPECT_EQ(exit_status(), 0);
@@ -308,6 +330,8 @@
   run(1024, {"--no-such"});
   EXPECT_EQ(exit_status(), 2);
 }
+// SIGHUP reloads the file given by --config, and with --log json every log line is a JSON object
+// that names the node.
 TEST_F(ProcessTest, ANamedFileIsReadAgainAtHangUpAndTheLogSpeaksJson) {
   run(1024, {"--config", (dir / "config.json").string(), "--log", "json"}, false);
   ASSERT_TRUE(up());
@@ -323,7 +347,8 @@
   }
 }
 
-// Bad configuration: one line that names the field, and an exit that is not 0.
+// An invalid configuration ends the program with a non-zero status and one log line that names the
+// field.
 struct BadConfig : ProcessTest {
   void expect_named(const std::string& field) {
     run();
@@ -345,8 +370,8 @@
 }
 TEST_F(BadConfig, KnownIsNoList) { config["known"] = 5, expect_named("'known'"); }
 TEST_F(BadConfig, AddressIsTaken) { config["listen"] = agent.text(), expect_named("'listen'"); }
-// A start begins the watch before it listens: where it can't listen, and ends for it, the agent was
-// called all the same.
+// The program starts the discovery watch before it listens for clients: where it cannot listen,
+// and ends for that reason, it has connected to discovery all the same.
 TEST_F(BadConfig, TheWatchIsBegunBeforeClientsAreListenedFor) {
   config["listen"] = server.text();
   expect_named("'listen'");
