--- a/tests/process_settings_test.cpp
+++ b/tests/process_settings_test.cpp
@@ -1,5 +1,5 @@
-// The real program and what it must turn down: settings that can't be used, and calls that are
-// none.
+// Tests of what the petrelrail program must reject: invalid settings, and malformed requests to the
+// control address and from clients.
 #include <cstdlib>
 
 #include "race_fixture.hpp"
@@ -7,7 +7,7 @@
 namespace petrelrail::test {
 namespace {
 
-// ---- Settings that can't be used ----------------------------------------------------------------
+// ---- Invalid settings ---------------------------------------------------------------------------
 
 struct BadSettings : Crossing {
   struct Case {
@@ -68,17 +68,20 @@
     return all;
   }
 };
+// Guards against a reload that accepts an invalid value or rejects it without a usable message:
+// each case is rejected as a whole, its key is named in one log line, the failure is counted,
+// and the node keeps serving.
 TEST_F(BadSettings, AreTurnedDownWholeAtHangUpWithTheKeyNamed) {
   run();
   ASSERT_TRUE(up());
   int failures = 0;
-  // What the log says of the configuration, a line each.
+  // Returns the log lines about the configuration.
   const auto said = [&] {
     std::vector<std::string> lines;
     std::istringstream text(log());
     for (std::string line; std::getline(text, line);)
       if (!text.eof() && line.find("configuration") != std::string::npos) lines.push_back(line);
-    return lines;  // whole ones: the last may be on its way
+    return lines;  // Complete lines only: the last may be partly written.
   };
   std::size_t seen = 0;
   for (const auto& [key, change] : cases()) {
@@ -99,6 +102,8 @@
   }
   EXPECT_EQ(figure("node_reload_success"), "0");
 }
+// The same invalid settings at the start: the program exits with a failure and one log line that
+// names the key.
 TEST_F(BadSettings, EndAStartWithTheKeyNamed) {
   const auto good = config;
   for (const auto& [key, change] : cases()) {
@@ -114,7 +119,8 @@
   }
 }
 
-// What can't change while the node runs is named, in one line; the rest of the file is taken.
+// A reload that also changes keys that cannot change while the node runs: these are named in one
+// log line, and the rest of the file takes effect.
 TEST_F(Crossing, KeysThatNeedANewStartAreNamedAtHangUpAndTheRestIsTaken) {
   config["peer_listen"] = "127.0.0.1:1";
   run();
@@ -140,7 +146,7 @@
   };
   config["discovery"] = agent_now.text();
   config["limits"]["memory_mb"] = 64,
-  config["seed"] = "0000000000000001";  // nothing follows from these
+  config["seed"] = "0000000000000001";  // these changes need no restart message
   hang_up();
   EXPECT_TRUE(loop.until([&] { return !agent_now.wires.empty(); }));
   EXPECT_TRUE(named().empty()) << log();
@@ -151,7 +157,8 @@
   EXPECT_TRUE(loop.until([&] { return !agent_last.wires.empty(); }));
   EXPECT_EQ(named(), std::vector<std::string>{"name,listen,limits.sockets,peer_listen,control"})
       << log();
-  // Told again as long as the file says something else than the start did, and no longer.
+  // The message is repeated at each reload as long as the file differs from the configuration of
+  // the start, and no longer.
   hang_up();
   EXPECT_EQ(named().size(), 2U);
   config = started;
@@ -162,8 +169,11 @@
   EXPECT_TRUE(served(w));
 }
 
-// ---- Calls that are none ------------------------------------------------------------------------
+// ---- Malformed requests -------------------------------------------------------------------------
 
+// Guards against malformed, oversized or stalled control requests that block the control address
+// or the node: each is answered with an error or closed, refusals are counted, and others are
+// served.
 TEST_F(Crossing, ControlCallsThatAreNoneAreAnsweredOrEndAndHoldUpNobody) {
   run();
   ASSERT_TRUE(up());
@@ -173,7 +183,8 @@
   };
   const std::string rest = " HTTP/1.1\r\nHost: x\r\n";
   const auto refused = [](int s) { return s == 0 || (s >= 400 && s < 500); };
-  // More than may be connected at once, each with half a head and then silence.
+  // More connections than the control address permits at the same time; each sends part of a
+  // request head and nothing more.
   std::vector<std::shared_ptr<Wire>> halves;
   for (int i = 0; i < 40; ++i)
     halves.push_back(loop.connect(control)), halves.back()->send("GET /metr");
@@ -208,7 +219,8 @@
   EXPECT_TRUE(served(w));
 }
 
-// Requests that are none are answered or closed, each kind is counted, and others are served.
+// Malformed, oversized, incomplete or missing client requests are answered with an error or
+// closed, each kind is counted under its status, and other clients are served.
 TEST_F(Crossing, ClientsRequestsThatAreNoneAreCountedByTheirAnswer) {
   run();
   ASSERT_TRUE(up());
--- a/tests/response_process_test.cpp
+++ b/tests/response_process_test.cpp
@@ -1,12 +1,12 @@
-// The real program between scripted clients and price servers: what becomes of answers that break
-// or are spoilt on their way, and what its log and figures tell of it.
+// Tests of the petrelrail program between scripted clients and price servers: truncated or
+// malformed answers, and the log lines and metrics about requests and refusals.
 #include "race_fixture.hpp"
 
 namespace petrelrail::test {
 namespace {
 
 struct Answers : Crossing {
-  // Follows every request in the log, with a class that may not be sent twice.
+  // Starts the program with request logging and a class whose requests must not be sent twice.
   void start() {
     config["settings"]["grades"][0]["idempotency"] = "unsafe";
     run(1024, {"--log-requests"});
@@ -19,6 +19,8 @@
   }
 };
 
+// With --log-requests, each step of a request is logged under its ID, and the ends of the
+// attempt and of the session are counted.
 TEST_F(Answers, ARequestCanBeFollowedByItsIdAndItsEndIsCounted) {
   start();
   const auto w = loop.connect(listen);
@@ -33,6 +35,7 @@
   EXPECT_TRUE(
       loop.until([&] { return figure("node_session_ends{reason=\"client_closed\"}") == "1"; }));
 }
+// A request refused because the quota is used up is counted and logged with that cause.
 TEST_F(Answers, ARefusalIsCountedByItsCause) {
   counter.on([](Wire& w) {
     for (auto l = w.line(); !l.empty(); l = w.line())
@@ -46,7 +49,8 @@
   EXPECT_TRUE(logged("node: refused request=a1 cause=quota_used")) << log();
 }
 
-// Long enough to pass on before it is whole.
+// Body length in bytes; long enough that the node forwards a part of the answer before the
+// answer is complete.
 constexpr std::size_t kLong = 24'000;
 
 struct Framing {
@@ -58,9 +62,9 @@
   std::string bytes;
 };
 
-// Issue 30: a part of the answer has been passed on when its last byte comes with bytes behind it
-// that belong to nobody. The answer is whole: its client gets all of it, the next request on the
-// connection is served, and the server's connection is not used again.
+// Issue 30: a part of the answer has been forwarded when its last byte arrives together with
+// further bytes that belong to no answer. The answer is complete: the client gets all of it, the
+// next request on the client's connection is served, and the server's connection is not reused.
 TEST_F(Answers, AWholeAnswerThatIsPassedOnIsFinishedWhateverComesBehindIt) {
   const std::string body(kLong, 'b');
   std::string answer;
@@ -98,7 +102,8 @@
   EXPECT_EQ(figure("node_pool_reuses"), "0");
 }
 
-// What came of it before it broke is its client's, also where the break lies in the same read.
+// A chunked answer becomes malformed after a valid part: the client gets everything before the
+// malformed byte, also where the fault lies in the same read as the last valid part.
 TEST_F(Answers, AnAnswerThatBreaksIsPassedOnUpToWhereItBroke) {
   const std::string last(100, 'z');
   server.on([&](Wire& w) {
