--- a/tests/golden_process_test.cpp
+++ b/tests/golden_process_test.cpp
@@ -1,5 +1,5 @@
-// The real program as operators and an older process of its own meet it: replies of the control
-// address, names of metrics, and a recorded hand-over state that it takes over.
+// Golden tests of the petrelrail program's outer interfaces: replies of the control address, names
+// of metrics, and a recorded hand-over state of an earlier process.
 #include <sys/socket.h>
 
 #include <boost/asio/local/stream_protocol.hpp>
@@ -11,7 +11,7 @@
 namespace petrelrail::test {
 namespace {
 
-// The lines of /metrics without their values.
+// Returns the lines of /metrics without their values.
 std::string series_of(const std::string& reply) {
   std::istringstream lines(reply.substr(reply.find("\r\n\r\n") + 4));
   std::string text;
@@ -22,6 +22,8 @@
 
 struct GoldenControl : Crossing {};
 
+// Guards against unintended changes of the control address's replies, which operators' tools
+// depend on.
 TEST_F(GoldenControl, RepliesAreAsBefore) {
   run();
   ASSERT_TRUE(up());
@@ -38,6 +40,7 @@
   expect_golden("control_replies.txt", text);
 }
 
+// Guards against renamed or missing metrics.
 TEST_F(GoldenControl, SeriesOfMetricsAreAsBefore) {
   run();
   ASSERT_TRUE(up());
@@ -45,7 +48,8 @@
   expect_golden("metrics_series.txt", series_of(figures()));
 }
 
-// Plays the process that served before: gives the listening socket and the recorded state.
+// Stands in for the predecessor process: passes the listening socket and the recorded state to
+// the program.
 struct GoldenHandover : Crossing {
   using Local = asio::local::stream_protocol;
 
@@ -68,7 +72,7 @@
     listening.listen();
     acceptor.async_accept(link, [this](const error_code& failed) { accepted = !failed; });
   }
-  // The next line that the successor has written.
+  // Returns the next line that the successor has written.
   std::string line() {
     std::array<char, 512> space{};
     EXPECT_TRUE(loop.until([&] {
@@ -105,6 +109,8 @@
   bool accepted = false;
 };
 
+// Guards against a program that cannot read the hand-over state of an earlier version: it takes
+// over the recorded state without a read error and serves on the passed socket.
 TEST_F(GoldenHandover, StateOfAnEarlierProcessIsTakenOver) {
   wait_for_successor();
   run(1024, {"--members", "on,jobs"});
@@ -119,7 +125,7 @@
   EXPECT_TRUE(logged("taken over from a predecessor")) << log();
   EXPECT_EQ(log().find("can't be read"), std::string::npos) << log();
   error_code ignored;
-  listening.close(ignored);  // the successor has it
+  listening.close(ignored);  // the successor holds the listening socket
   const auto wire = loop.connect(listen);
   wire->send(ProcessTest::ask());
   EXPECT_TRUE(served(wire)) << log();
