--- a/tests/golden_cluster_test.cpp
+++ b/tests/golden_cluster_test.cpp
@@ -1,5 +1,5 @@
-// What a node with members and jobs on shows and hands over: every key of the control address's
-// JSON, every name of its metrics, every key of its hand-over state.
+// Golden tests of nodes with membership and jobs enabled: every key of the control address's JSON,
+// every name of the metrics, every key of the hand-over state.
 #include <sys/socket.h>
 #include <sys/un.h>
 
@@ -29,7 +29,7 @@
                 {"ends", std::chrono::duration_cast<std::chrono::seconds>(now).count() + 600}}
         .dump();
   }
-  // A job that has run to its end.
+  // Submits a job, waits until it has finished, and returns its ID.
   std::string finished_job(const std::string& prefix) {
     const auto accepted = tier.ask("POST", "/jobs", job(prefix));
     EXPECT_EQ(accepted.status, 202) << accepted.body;
@@ -46,7 +46,7 @@
       if (entry.path().extension() == ".sock") return entry.path();
     return {};
   }
-  // One request of a client, so that a customer's lease exists.
+  // Sends one client request, so that a customer's lease exists.
   void request_once(std::uint32_t node) {
     const auto name = handover_socket(node).stem().string();  // petrelrail-ADDRESS:PORT
     const auto colon = name.rfind(':');
@@ -62,7 +62,7 @@
     EXPECT_TRUE(tier.until([&] { return wire->in.find("\r\n\r\n") != std::string::npos; }));
     EXPECT_TRUE(wire->in.starts_with("HTTP/1.1 200")) << wire->in;
   }
-  // What a successor is given that asks for the node's state.
+  // Requests the node's hand-over state as a successor process does, and returns it.
   json handed_over(std::uint32_t node) {
     const int link = ::socket(AF_UNIX, SOCK_STREAM, 0);
     sockaddr_un at{};
@@ -96,13 +96,16 @@
   Tier tier;
 };
 
+// Guards against renamed or missing keys in the replies about members, leases and jobs, which
+// operators' tools depend on.
 TEST_F(GoldenTier, ControlRepliesHaveTheKeysOfBefore) {
   const auto id = finished_job("9b1f03aa5c7e");
   std::string text;
   const auto add = [&](const std::string& call, const Tier::Reply& reply) {
     text += "> " + call + " " + std::to_string(reply.status) + "\n" + paths_of(reply.body);
   };
-  Tier::Reply members;  // once each is known for long enough: till then it has one more key
+  Tier::Reply
+      members;  // A member that is not yet known for long enough has the additional key "settled".
   EXPECT_TRUE(tier.until([&] {
     members = tier.call(0, "GET", "/members");
     return members.status == 200 &&
@@ -123,12 +126,16 @@
   expect_golden("control_paths.txt", text);
 }
 
+// Guards against renamed or missing metrics of a node with membership and jobs enabled.
 TEST_F(GoldenTier, SeriesOfMetricsAreAsBefore) {
   const auto wire = tier.begin(0, "GET", "/metrics");
   ASSERT_TRUE(tier.until([&] { return wire->ended; }));
   expect_golden("metrics_series_members.txt", series_of(wire->in));
 }
 
+// Guards against a changed hand-over format, which an older or newer process could not read.
+// With PETRELRAIL_RECORD_GOLDEN set, also records the state for
+// StateOfAnEarlierProcessIsTakenOver.
 TEST_F(GoldenTier, HandoverStateHasTheKeysOfBefore) {
   finished_job("9b1f03aa5c7e");
   request_once(0);
--- a/tests/jobs_process_test.cpp
+++ b/tests/jobs_process_test.cpp
@@ -1,5 +1,5 @@
-// Jobs on eight real processes, with faults between them: each line runs at one place at a time,
-// answers that were fetched are not asked for again, and a job goes on when its node is gone.
+// Tests of jobs on eight petrelrail processes with faults between them: each task runs at one place
+// at a time, fetched answers are not requested again, and a job continues when its node is gone.
 #include "process_cluster_fixture.hpp"
 
 namespace petrelrail::test {
@@ -34,14 +34,14 @@
     EXPECT_EQ(r.status, 202) << r.body;
     return r.status == 202 ? r.body["id"].get<std::string>() : "";
   }
-  // A job that is well under way when this returns.
+  // Submits a job and returns its ID after 30 of its requests have reached price servers.
   std::string running(std::uint32_t lines) {
     tier.work = 50ms;
     auto id = hand_in(lines);
     EXPECT_TRUE(tier.until([&] { return tier.runs.size() >= 30; }));
     return id;
   }
-  // Fetches until all lines have been told; each is told once.
+  // Fetches answers until all tasks are reported; each must be reported once.
   std::map<std::uint32_t, json> fetch_all(const std::string& id, std::uint32_t lines) {
     std::map<std::uint32_t, json> told;
     std::uint32_t next = 0;
@@ -81,11 +81,13 @@
                             600;
 };
 
+// A job submitted once runs each task once, and its answers can be fetched. Submitting it again
+// returns the same job; invalid, conflicting and deleted jobs are rejected.
 TEST_F(JobsOnProcesses, AJobRunsAndIsFetchedFromAnyNode) {
   const auto id = hand_in(40);
   all_served(fetch_all(id, 40), 40);
   EXPECT_EQ(tier.runs.size(), 40U);
-  // Handed in again, at another node, it is the same job; other content under its prefix is a
+  // Submitted again at another node it is the same job; other content under its prefix is a
   // conflict.
   EXPECT_EQ(tier.ask("POST", "/jobs", spec(40), 5).body["id"], id);
   EXPECT_EQ(tier.ask("POST", "/jobs", spec(41), 3).status, 409);
@@ -96,7 +98,8 @@
   EXPECT_EQ(tier.ask("DELETE", "/jobs/" + id).status, 200);
   EXPECT_EQ(tier.ask("POST", "/jobs", spec(40)).status, 409);
 }
-// Whatever is handed in at two nodes at once under one prefix is one job.
+// Guards against running a job twice: submissions at two nodes at the same time under one prefix
+// are one job.
 TEST_F(JobsOnProcesses, HandedInTwiceAtOnceItRunsOnce) {
   const auto body = spec(30);
   const auto a = tier.begin(1, "POST", "/jobs", body), b = tier.begin(6, "POST", "/jobs", body);
@@ -105,6 +108,8 @@
   all_served(fetch_all(id, 30), 30);
   EXPECT_EQ(tier.runs.size(), 30U);
 }
+// Guards against a job that is lost with its node: the holder is killed, another node takes the
+// job over, and every task is served.
 TEST_F(JobsOnProcesses, AnotherNodeGoesOnWhenTheHolderIsKilled) {
   const auto id = running(200);
   const auto first = holder(id);
@@ -113,7 +118,8 @@
   EXPECT_NE(next, first);
   all_served(fetch_all(id, 200), 200);
 }
-// It wakes up when another has gone on: nothing of what it does counts, and no line is out twice.
+// The holder stalls, another node continues the job, and the holder resumes: nothing that it
+// does takes effect, and no task is in flight twice.
 TEST_F(JobsOnProcesses, AHolderThatStallsAndWakesDoesNothing) {
   const auto id = running(200);
   const auto first = holder(id);
@@ -122,14 +128,14 @@
   tier.signal(first, SIGCONT);
   const auto woke = tier.runs.size();
   all_served(fetch_all(id, 200), 200);
-  // What had been written to a price server before the stall may still come from there; nothing new
-  // does.
+  // Requests written to a price server before the stall may still arrive from the stalled node, but
+  // no new ones.
   std::set<std::uint32_t> nodes;
   for (auto i = woke + 8; i < tier.runs.size(); ++i) nodes.insert(tier.runs[i].node);
   EXPECT_FALSE(nodes.contains(first));
 }
-// Peers don't hear it, the counter does: whoever holds a term at the counter works, and only that
-// one.
+// The holder loses first the counter, then its peers, which do not hear it while the counter
+// does. Only the node that holds a term at the counter may run the job, and the job continues.
 TEST_F(JobsOnProcesses, CutFromItsPeersOrFromTheCounterTheJobGoesOn) {
   const auto id = running(200);
   auto at = holder(id);
@@ -143,8 +149,8 @@
   tier.cut_off(at, false);
   all_served(fetch_all(id, 200), 200);
 }
-// A silent counter stops jobs within a term; one that has lost its numbers gives nobody a second
-// holder.
+// With 5% of the datagrams lost and 5% duplicated: a silent counter stops jobs within a lease
+// term, and a counter that has lost its values must not give a job a second holder.
 TEST_F(JobsOnProcesses, ASilentCounterPausesAndAnEmptiedOneBreaksNothing) {
   tier.lose(0.05), tier.repeat(0.05);
   const auto id = running(150);
@@ -155,7 +161,7 @@
   tier.counter().set_mode(tier.now(), world::Counter::Mode::serving);
   all_served(fetch_all(id, 150), 150);
 }
-// SIGTERM gives the job on at once.
+// The holder gets SIGTERM: it transfers the job immediately, and another node finishes it.
 TEST_F(JobsOnProcesses, AHolderThatLeavesGivesTheJobOn) {
   const auto id = running(200);
   const auto first = holder(id);
@@ -165,8 +171,8 @@
   EXPECT_NE(holder(id), first);
   all_served(fetch_all(id, 200), 200);
 }
-// A new version takes the holder's place in mid job, with its right and its records: the job goes
-// on there.
+// A hot restart of the holder in the middle of a job: the new process takes over the lease and
+// the records, and the job continues there.
 TEST_F(JobsOnProcesses, AnUpgradeOfTheHolderGoesOnWithTheJob) {
   const auto id = running(200);
   const auto first = holder(id);
@@ -174,11 +180,13 @@
   all_served(fetch_all(id, 200), 200);
 }
 
-// A class that must not run twice: what may have run when its holder died ends as unknown, and
-// nothing runs again.
+// Jobs of a class whose requests must not run twice: a task that may have run when its holder
+// died ends as unknown, and nothing runs again.
 struct UnsafeJobs : JobsOnProcesses {
   UnsafeJobs() : JobsOnProcesses(0) {}
 };
+// The holder is killed while tasks are in flight: no request reaches a price server twice, and
+// every task ends as served, unknown or lost.
 TEST_F(UnsafeJobs, NothingThatMayHaveRunRunsAgain) {
   tier.work = 50ms;
   const auto id = hand_in(80);
