--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -1,4 +1,5 @@
-// The lab's tool and its scenarios.
+// Tests of petrelrail-lab: scenario files, scenarios on the simulated runtime, and the command-line
+// tool with petrelrail processes.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -26,13 +27,15 @@
   }
 }
 
-// ---- Reading a scenario: what is wrong is named by file, line and key ---------------------------
+// ---- Reading a scenario: errors are named by file, line and key ---------------------------------
 
+// An empty file gives the default configuration, named after the file.
 TEST(ScenarioFile, AnEmptyOneHasTheUsualTerms) {
   const auto s = parse_scenario("", "here/quiet.toml");
   EXPECT_EQ(s.name, "quiet");
   EXPECT_EQ(s.clients.plans.size(), 3U);
 }
+// Guards against a misspelt or invalid key that is ignored silently.
 TEST(ScenarioFile, UnknownKeysWrongTypesAndBoundsAreNamed) {
   EXPECT_EQ(message("[fleet]\nnods = 3"), "s.toml:2: fleet.nods: there is no such key here");
   EXPECT_EQ(message("[fleat]\nnodes = 3"), "s.toml:1: fleat: there is no such key here");
@@ -50,6 +53,7 @@
   EXPECT_EQ(message("fleet = 3"), "s.toml:1: fleet: a table is wanted");
   EXPECT_NE(message("[fleet\n").find("s.toml:1: "), std::string::npos);
 }
+// Guards against faults that affect nothing because their targets, fields or times are invalid.
 TEST(ScenarioFile, FaultsOnPartiesThatDoNotExistAreNamed) {
   const std::string kill = "[[fault]]\nkind = \"kill\"\nat = 1\n";
   EXPECT_EQ(message(kill + "who = \"nodes 0-3\""), "");
@@ -73,6 +77,8 @@
   EXPECT_EQ(message("[[fault]]\nkind = \"stall\"\nat = 99\nfor = 1\nwho = \"nodes\""),
             "s.toml:3: fault[0].at: it is from 0 to 20");
 }
+// Guards against an expectation that checks nothing: its figure is unknown or its bound is
+// missing.
 TEST(ScenarioFile, ExpectationsNameAFigureAndABound) {
   EXPECT_EQ(message("[[expect]]\nfigure = \"served_share\"\nat_least = 0.5"), "");
   EXPECT_EQ(message("[[expect]]\nfigure = \"luck\"\nat_least = 1"),
@@ -80,6 +86,7 @@
   EXPECT_EQ(message("[[expect]]\nfigure = \"lost\""),
             "s.toml:1: expect[0].at_most: a bound is missing: at_most or at_least");
 }
+// KEY=VALUE settings override the file and are checked like it.
 TEST(ScenarioFile, SettingsOnTheCommandLineAreLaidOverTheFile) {
   const auto s = parse_scenario(
       "[[fault]]\nkind = \"kill\"\nat = 1\nwho = \"nodes 0\"", "s.toml",
@@ -94,7 +101,7 @@
             std::string::npos);
 }
 
-// ---- Scenarios on the model ---------------------------------------------------------------------
+// ---- Scenarios on the simulated runtime ---------------------------------------------------------
 
 Options model(const std::string& scenario, std::uint64_t seed = 1,
               const std::vector<std::string>& sets = {}) {
@@ -114,10 +121,11 @@
   return names;
 }
 
+// Every scenario file keeps the invariants and meets its expectations on the simulated runtime.
 TEST_P(Scenarios, RulesAndExpectationsHoldOnTheModel) {
   auto options = model(GetParam());
-  // What stands for the whole fleet is played in a fifth of it here: the sanitizers take their
-  // time.
+  // Scenarios of the whole fleet run at a fifth of its size here, because the sanitizers slow them
+  // down.
   if (options.scenario.fleet.nodes > 100)
     options = model(GetParam(), 1, {"fleet.nodes=60", "servers.count=40"});
   const auto played = run_scenario(options);
@@ -132,12 +140,15 @@
                            return name;
                          });
 
+// Guards against simulated runs that cannot be reproduced from their seed.
 TEST(Model, TheSameSeedGivesTheSameBytesAndAnotherDoesNot) {
   const std::vector<std::string> sets{"fleet.nodes=5", "servers.count=6"};
   const auto once = run_scenario(model("counter-silent", 3, sets)).figures.dump();
   EXPECT_EQ(run_scenario(model("counter-silent", 3, sets)).figures.dump(), once);
   EXPECT_NE(run_scenario(model("counter-silent", 4, sets)).figures.dump(), once);
 }
+// An answer lost in a partition between node and client counts as unreachable, not as a
+// violation by the node.
 TEST(Model, AnAnswerThatACutSwallowsIsNotTheNodesLoss) {
   Options o;
   o.scenario = parse_scenario(
@@ -150,8 +161,8 @@
   for (const auto& text : played.violations) ADD_FAILURE() << text;
   EXPECT_GT(played.figures["figures"]["unreachable"].get<double>(), 0);
 }
-// Guards against a judge that counts the drain of a server's former life as told after the server
-// has come back and is listed as ready again.
+// Guards against a judge that still counts a server's earlier incarnation as announced to be
+// draining after the server has come back and is listed as ready again.
 TEST(Model, AServerThatCameBackIsNotHeldToTheDrainOfItsFormerLife) {
   Options o;
   o.scenario = parse_scenario(
@@ -162,16 +173,18 @@
   const auto played = run_scenario(o);
   EXPECT_EQ(played.violations, std::vector<std::string>{});
 }
-// What the scenario of that name holds is played on the model with all others, and below on real
-// processes.
+// The scenario every-fault must contain every kind of fault; it runs on the simulated runtime
+// with all others, and below on petrelrail processes.
 TEST(ScenarioFile, EveryFaultHoldsEveryKindOfFault) {
   std::set<world::FaultKind> kinds;
   for (const auto& f : model("every-fault").scenario.faults) kinds.insert(f.kind);
   EXPECT_EQ(kinds.size(), static_cast<std::size_t>(world::FaultKind::peers_lossy) + 1);
 }
+// Guards against a simulated node that exceeds its budget of descriptors: with few sockets it
+// serves clearly fewer requests.
 TEST(Model, ANodeKeepsToItsBudgetOfDescriptors) {
-  // One node alone with 36 connections for 60 servers: what idles elsewhere goes for each that it
-  // opens, and where none idles the attempt is never sent.
+  // A single node with 36 connections for 60 servers: it closes an idle connection for each one
+  // that it opens, and where none is idle the attempt is never sent.
   const auto served = [](const char* sockets) {
     return run_scenario(model("quiet", 1,
                               {"fleet.nodes=1", "servers.count=60", "clients.load=0.3",
@@ -182,10 +195,10 @@
   EXPECT_LT(served("fleet.sockets=128"), 0.75 * served("fleet.sockets=1024"));
 }
 
-// A client may come to a restarted node before the front takes it in again: what the node was
-// started with counts as told.
+// A client may reach a restarted node before the front admits the node again, so the list that
+// the node was started with counts as announced from the start.
 TEST(World, ANodeIsToldItsListWithItsConfigurationAndNotWhenItIsReady) {
-  struct Still final : world::Runtime {  // starts nodes, and no more
+  struct Still final : world::Runtime {  // a runtime that does nothing
     void start_node(std::uint32_t) override {}
     void kill_node(std::uint32_t) override {}
     void term_node(std::uint32_t) override {}
@@ -240,6 +253,7 @@
   }
 };
 
+// Every command has --help; an unknown command or a missing argument exits with status 2.
 TEST_F(Tool, HelpOnEveryVerb) {
   for (const std::string verb : {"", "run", "check", "compare", "report", "list"}) {
     EXPECT_EQ(run(verb + " --help"), 0) << verb;
@@ -248,12 +262,14 @@
   EXPECT_EQ(run("dance"), 2);
   EXPECT_EQ(run("run"), 2);
 }
+// "check" names the invalid key and exits with status 2, also for a missing file.
 TEST_F(Tool, CheckNamesWhatIsWrong) {
   EXPECT_EQ(run("check " + scenario("[fleet]\nnodes = 5")), 0);
   EXPECT_EQ(run("check " + scenario("[fleet]\nnodes = -5")), 2);
   EXPECT_NE(said().find("s.toml:2: fleet.nodes: "), std::string::npos) << said();
   EXPECT_EQ(run("check " + (dir / "none.toml").string()), 2);
 }
+// An unmet expectation is named, and the run exits with status 1.
 TEST_F(Tool, ARunSaysWhichExpectationIsNotMet) {
   const std::string few =
       "[fleet]\nnodes = 2\nseconds = 2\n[servers]\ncount = 2\n[[expect]]\nfigure = \"served\"\n";
@@ -261,7 +277,8 @@
   EXPECT_EQ(run("run " + scenario(few + "at_least = 100000")), 1);
   EXPECT_NE(said().find("expectation not met: served is "), std::string::npos) << said();
 }
-// Real processes: judged by counts and rules, not by times.
+// Runs petrelrail processes through a kill, a hot restart, a restart and a stall; checks counts
+// and invariants, not times.
 TEST_F(Tool, FourProcessesServeThroughAKillAndAnUpgradeAndNoneIsLeftOver) {
   const auto file = scenario(R"(
 [fleet]
@@ -297,7 +314,7 @@
 at_most = 0
 )");
   const auto out = dir / "play";
-  // How late the lab runs depends on the machine: it is no question here.
+  // How late the lab runs depends on the machine and is not tested here.
   EXPECT_EQ(run("run " + file + " --carrier processes --most-lag-ms 10000 --out " + out.string()),
             0)
       << said();
@@ -307,8 +324,8 @@
   log << std::ifstream(out / "node-1.log").rdbuf();
   EXPECT_NE(log.str().find("taken over from a predecessor"), std::string::npos) << log.str();
 }
-// Addresses that let nothing come up, refuse, and come back: the tool itself never waits for one of
-// them.
+// Addresses where no connection is established, that refuse connections, and that come back: the
+// tool itself must never wait for one of them.
 TEST_F(Tool, RealProcessesMeetASilentCounterALostZoneAndACut) {
   const auto file = scenario(R"(
 [fleet]
@@ -349,15 +366,15 @@
 )");
   EXPECT_EQ(run("run " + file + " --carrier processes --most-lag-ms 10000"), 0) << said();
 }
-// One play holds all that the lab can do to real processes; what is expected are the rules, not
-// times.
+// One run with every fault that the lab can inject into petrelrail processes; checks invariants,
+// not times.
 TEST_F(Tool, RealProcessesMeetEveryKindOfFault) {
   const auto file = std::string(SCENARIOS) + "/every-fault.toml";
   EXPECT_EQ(run("run " + file + " --carrier processes --most-lag-ms 10000 --set clients.load=0.1"),
             0)
       << said();
 }
-// Nine real processes that know of each other: killed, told to leave, upgraded. It waits for the
+// Nine petrelrail processes with membership: killed, terminated, upgraded. The test waits for a
 // state, not for a time.
 TEST_F(Tool, RealMembersAgreeAfterKillsAnUpgradeAndARestart) {
   const auto out = dir / "members";
@@ -376,9 +393,9 @@
   EXPECT_NE(log("5").find("member 4 has left"), std::string::npos) << log("5");
   EXPECT_NE(log("5").find("member 2 is back"), std::string::npos) << log("5");
   EXPECT_EQ(log("5").find("member 3 has"), std::string::npos)
-      << log("5");  // upgraded: the same member goes on
+      << log("5");  // A hot restart keeps the same member.
 }
-// The tool as a child, with real nodes as its own children, ended in the midst of a play.
+// Runs the tool as a child process, with nodes as its own children, and ends it during a run.
 struct EndedTool : Tool {
   pid_t tool = 0;
   std::vector<pid_t> nodes;
@@ -422,6 +439,7 @@
   }
 };
 
+// SIGINT ends the tool with status 1 and all its nodes, and the figures so far are written.
 TEST_F(EndedTool, CtrlCEndsEveryProcessAndWritesWhatThereIs) {
   begin();
   kill(tool, SIGINT);
@@ -432,12 +450,15 @@
   EXPECT_TRUE(all_gone());
   EXPECT_TRUE(std::filesystem::exists(dir / "play" / "figures.json"));
 }
+// Guards against orphaned nodes: they end also when the tool is killed with SIGKILL.
 TEST_F(EndedTool, NoProcessOutlivesAToolThatIsKilled) {
   begin();
   kill(tool, SIGKILL);
   ASSERT_EQ(waitpid(tool, nullptr, 0), tool);
   EXPECT_TRUE(all_gone());
 }
+// A program that exits at its start or does not exist ends the run with status 3; its exit
+// status and the last lines of its log are reported.
 TEST_F(Tool, AProgramThatDoesNotStartIsToldWithItsLastLines) {
   std::ofstream(dir / "bad") << "#!/bin/sh\necho first words\necho last words\nexit 7\n";
   std::filesystem::permissions(dir / "bad", std::filesystem::perms::owner_all);
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -1,5 +1,5 @@
-// A short bounded part of the soak: random overlapping faults over a dozen real processes. README
-// has the command for the rest.
+// A short, bounded part of the soak test: random overlapping faults on a dozen petrelrail
+// processes. README has the command for the long soak.
 #include "soak.hpp"
 
 #include <gtest/gtest.h>
@@ -30,13 +30,15 @@
 
 class Soak : public ::testing::TestWithParam<std::uint64_t> {};
 
+// Guards against invariant violations that only overlapping faults cause: random faults by seed
+// on 12 nodes for 8 seconds must give no finding, and requests must be served.
 TEST_P(Soak, NoRuleIsBrokenUnderOverlappingFaults) {
   Options options;
   options.seed = GetParam();
   options.scenario = soak_scenario({.seed = GetParam(), .nodes = 12, .seconds = 8});
   options.processes = true;
   options.program = PETRELRAIL_PROGRAM, options.system_faults = SYSTEM_FAULTS;
-  // A play in which the lab itself ran late tells nothing.
+  // A run in which the lab itself ran late is void and is repeated.
   auto played = run_scenario(options);
   for (int again = 0; again < kPlaysAgain && !played.void_reason.empty(); ++again)
     played = run_scenario(options);
@@ -46,8 +48,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, Soak, ::testing::Values(1, 2, 3));
 
-// Guards against a lab's client that sends a request after it has left: "was sent on after its
-// client had left" on seed 3.
+// Guards against a simulated client that sends its request after it has disconnected, which made
+// the lab report "was sent on after its client had left" on seed 3.
 TEST(LabClients, OneThatHasLeftSendsNothing) {
   const TemporaryFolder folder;
   Options options;
@@ -55,7 +57,7 @@
   options.program = PETRELRAIL_PROGRAM;
   options.out = folder.path, options.trace = true;
   options.scenario.fleet.nodes = 2, options.scenario.fleet.seconds = 4;
-  // All leave, many of them while their request is still on its way to the front.
+  // All clients disconnect, many of them before their request has reached the front.
   auto& clients = options.scenario.clients;
   clients.deadline_ms = 20, clients.aim_ms = 10, clients.early_disconnect_share = 1;
   clients.plans = {world::PlanConfig{.name = "basic", .rate = 100}};
@@ -70,12 +72,13 @@
         << event["id"] << " was sent after its client had left";
   }
   std::erase_if(left, [&](const auto& id) { return taken.contains(id); });
-  EXPECT_GT(left.size(), 0U);  // before their requests were sent
+  EXPECT_GT(left.size(), 0U);  // Some disconnected before their requests were sent.
   EXPECT_GT(taken.size(), 100U);
 }
 
-// A node that misses that its clients have closed sends on requests after they left, and that is
-// reported; the same play of a sound node is clean.
+// Guards against a judge that misses a faulty node: a node that does not notice that its clients
+// have closed forwards requests after they disconnected, and that is reported; the same run of a
+// correct node gives no finding.
 TEST(SoakJudge, ANodeThatMissesThatItsClientsLeftIsReported) {
   const auto play_with = [](bool hide_closes) {
     Options options;
@@ -85,7 +88,8 @@
     scenario.fleet.nodes = 2, scenario.fleet.seconds = 4;
     scenario.servers.count = 2;
     scenario.system.hide_closes = hide_closes;
-    // More than the servers can do, so that requests wait for a place, and all clients leave.
+    // The load exceeds the servers' capacity, so that requests wait for a free slot, and all
+    // clients disconnect.
     auto& clients = scenario.clients;
     clients.load = 3, clients.early_disconnect_share = 1;
     clients.deadline_ms = 3000, clients.aim_ms = 2500;
@@ -109,8 +113,8 @@
   return run_scenario(options);
 }
 
-// Guards against a client whose requests are all malformed: without an Idempotency-Key every node
-// rejected each of a keyed class, and no play of one told.
+// Guards against simulated clients whose requests are all malformed: without an Idempotency-Key
+// every node rejected each request of a keyed class, and no run of such a class reported it.
 TEST(LabClients, RequestsOfEveryEffectAreServed) {
   constexpr double kMostOfThem = 0.5;
   for (const auto* effect : {"safe", "keyed", "unsafe"}) {
@@ -127,6 +131,8 @@
   return played;
 }
 
+// Guards against a run that passes without testing anything: no request served, a fault without
+// effect, an early stop or a late lab makes it void, with the reason.
 TEST(SoakVoid, APlayThatShowsNothingIsVoidAndSaysWhy) {
   EXPECT_EQ(soak_void_reasons(counting_play()).size(), 0U);
   auto none_served = counting_play();
@@ -144,7 +150,7 @@
   EXPECT_EQ(soak_void_reasons(late), std::vector<std::string>{"the lab itself ran late"});
 }
 
-// Requests whose time is not over when a play is stopped are no finding.
+// Requests whose deadline has not passed when a run is stopped are no finding.
 TEST(SoakVoid, AStoppedPlayDoesNotReportRequestsUnderWay) {
   int asked = 0;
   Options options;
@@ -152,15 +158,17 @@
   options.program = PETRELRAIL_PROGRAM;
   options.scenario = soak_scenario({.seed = 1, .nodes = 4, .seconds = 8});
   options.scenario.faults.clear();
-  options.should_stop = [&asked] { return ++asked > 150; };  // some seconds after the start
+  options.should_stop = [&asked] { return ++asked > 150; };  // stops some seconds after the start
   const auto played = run_scenario(options);
   EXPECT_TRUE(played.stopped);
   EXPECT_EQ(soak_findings(played), std::vector<std::string>{});
 }
 
-// All effects, and every fault takes hold: a play that shows nothing is no pass.
+// Classes of every effect (safe, keyed, unsafe), with every fault taking effect: a void run is
+// no pass.
 class SoakOfEveryEffect : public ::testing::TestWithParam<std::uint64_t> {};
 
+// Extended soak by seed on 12 nodes for 8 seconds: the run is not void, and there is no finding.
 TEST_P(SoakOfEveryEffect, ServesAndIsHitByItsFaults) {
   Options options;
   options.seed = GetParam();
@@ -176,6 +184,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, SoakOfEveryEffect, ::testing::Values(5000, 5002, 5004));
 
+// Guards against runs that cannot be reproduced: a seed always generates the same scenario, and
+// another seed a different one.
 TEST(SoakScenario, ASeedDrawsTheSameScenarioAgainAndAnotherOneAnother) {
   const auto first = soak_scenario({.seed = 5}), again = soak_scenario({.seed = 5}),
              other = soak_scenario({.seed = 6});
