--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,4 +1,4 @@
-// Drives the adapter as a process, on small lines written here.
+// Tests of the simulator adapter as a process, with short input batches and a recorded transcript.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -19,7 +19,7 @@
 
 struct Result {
   int code = 0;
-  std::vector<std::string> lines;  // of the replies, as they were printed
+  std::vector<std::string> lines;  // the replies as printed
   std::vector<json> replies;
   std::string errors;
 };
@@ -83,8 +83,10 @@
   return found;
 }
 
+// Guards against lists that resolve to a page registered later in the same batch, and against
+// 64-bit IDs and times that lose digits on their way through JSON.
 TEST(Adapter, PagesAreResolvedInEventOrderAndIdsSurvive) {
-  const std::int64_t t = 9007199254740993LL;  // not a double
+  const std::int64_t t = 9007199254740993LL;  // not representable as a double
   const auto first = run(
       batch(1, t,
             json::array({open("node-1"), page(0, 4294967295U), list("node-1", 0), open("node-2"),
@@ -119,6 +121,8 @@
   EXPECT_EQ(b.at("ticket"), "00000000000000ab");
 }
 
+// A node that is detached and opened again within one batch starts without state: it calls the
+// counter for the same customer again.
 TEST(Adapter, RestartInOneBatchForgetsAll) {
   const auto r = run(batch(1, 5,
                            json::array({open("node-1"),
@@ -133,14 +137,15 @@
   EXPECT_EQ(of(r.replies.at(0), "add-and-get", "node-1").size(), 2u);
 }
 
+// A batch without events gets a reply with its number and no actions.
 TEST(Adapter, EmptyBatchIsEchoed) {
   const auto r = run(batch(42, 5, json::array()));
   ASSERT_EQ(r.code, 0);
   EXPECT_EQ(r.replies.at(0), (json{{"batch", 42}, {"out", json::array()}}));
 }
 
-// A few hundred batches that reach every action (scripts/record-adapter-transcript.py): the same
-// input, the same output.
+// A few hundred recorded batches that reach every action (scripts/record-adapter-transcript.py):
+// the same input must give the same output, byte for byte.
 TEST(Adapter, TranscriptIsAnsweredByteForByteAsBefore) {
   const auto input = petrelrail::test::read_golden("adapter_input.jsonl");
   const auto r = run(input);
@@ -150,6 +155,8 @@
   petrelrail::test::expect_golden("adapter_output.jsonl", output);
 }
 
+// Invalid JSON, a missing field, a wrong type or an invalid setting ends the process with an
+// error that names the line and the field.
 TEST(Adapter, BadInputIsNamedAndEndsTheProcess) {
   auto missing = ask("node-1", "00000000000000ab");
   missing.erase("account");
