--- a/tests/golden_cluster_test.cpp
+++ b/tests/golden_cluster_test.cpp
@@ -104,8 +104,8 @@
   const auto add = [&](const std::string& call, const Tier::Reply& reply) {
     text += "> " + call + " " + std::to_string(reply.status) + "\n" + paths_of(reply.body);
   };
-  Tier::Reply
-      members;  // A member that is not yet known for long enough has the additional key "settled".
+  // A member that is not yet known for long enough has the additional key "settled".
+  Tier::Reply members;
   EXPECT_TRUE(tier.until([&] {
     members = tier.call(0, "GET", "/members");
     return members.status == 200 &&
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -198,7 +198,7 @@
 // A client may reach a restarted node before the front admits the node again, so the list that
 // the node was started with counts as announced from the start.
 TEST(World, ANodeIsToldItsListWithItsConfigurationAndNotWhenItIsReady) {
-  struct Still final : world::Runtime {  // a runtime that does nothing
+  struct Still final : world::Runtime {  // a runtime without effects
     void start_node(std::uint32_t) override {}
     void kill_node(std::uint32_t) override {}
     void term_node(std::uint32_t) override {}
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -27,8 +27,7 @@
   w->send(ask());
   ASSERT_TRUE(loop.until([&] { return held != nullptr; }));
   kill(child, SIGTERM);
-  ASSERT_TRUE(
-      loop.until([&] { return idle->ended; }));  // an idle connection is closed between requests
+  ASSERT_TRUE(loop.until([&] { return idle->ended; }));  // closed because it is idle
   answers = true;
   const auto late = loop.connect(listen);
   late->send(ask());
@@ -114,8 +113,8 @@
   run();
   ASSERT_TRUE(up());
   EXPECT_EQ(asked("POST", "write"), 404);
-  config["settings"]["grades"][0]
-        ["hard-limit-ns"] = 1000000;  // so that the last retries of the dropped class come soon
+  // 1 ms, so that the last retries of the dropped class come soon.
+  config["settings"]["grades"][0]["hard-limit-ns"] = 1000000;
   hang_up(config.dump(), "read again\n");
   config["settings"]["grades"] = json::array({other_class()});
   hang_up(config.dump(), "read again\n", 2);
