--- a/src/world/member_cases.cpp
+++ b/src/world/member_cases.cpp
@@ -240,11 +240,7 @@
 const std::vector<MemberCase>& member_cases() {
   const MemberCaseGoal intake{"most_in", 60};
   static const std::vector<MemberCase> all{
-      {"start",
-       "all nodes start at once",
-       {},
-       {{"agree_s", 15}, intake, {"wrong", 0}},
-       start_at_once},
+      {"start", "all start at once", {}, {{"agree_s", 15}, intake, {"wrong", 0}}, start_at_once},
       {"turn",
        "nodes start one by one, ten a second",
        {},
@@ -293,11 +289,7 @@
        {},
        {{"agree_s", 5}, intake, {"not_known", 0}},
        partition_and_heal},
-      {"one-way",
-       "datagrams from one zone to another are lost",
-       {},
-       {{"wrong", 0}, intake},
-       one_way_loss},
+      {"one-way", "one-way loss between two zones", {}, {{"wrong", 0}, intake}, one_way_loss},
       {"half-seen",
        "half of the other nodes can't reach one zone",
        {},
